--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -12,7 +12,7 @@
 #include <sstream>
 
 #include "constants.hpp"
-#include "coordination/node.hpp"
+#include "coordination/controller.hpp"
 #include "protocol/json.hpp"
 #include "transport/http_client.hpp"
 #include "transport/http_server.hpp"
--- a/src/bookkeeping/attempt_numbers.hpp
+++ b/src/cluster/attempt_numbers.hpp
@@ -7,7 +7,7 @@
 
 #include "constants.hpp"
 
-namespace poppystile::bookkeeping {
+namespace poppystile::cluster {
 
 class AttemptNumbers {
  public:
@@ -27,4 +27,4 @@
   std::uint64_t used_;
 };
 
-}  // namespace poppystile::bookkeeping
+}  // namespace poppystile::cluster
--- a/src/bookkeeping/model.cpp
+++ b/src/cluster/cluster_state.cpp
@@ -1,10 +1,10 @@
-#include "bookkeeping/model.hpp"
+#include "cluster/cluster_state.hpp"
 
 #include <algorithm>
 
 #include "constants.hpp"
 
-namespace poppystile::bookkeeping {
+namespace poppystile::cluster {
 
 std::uint32_t Job::take_waiting(Machine& machine) {
   std::uint32_t index = 0;
@@ -127,4 +127,4 @@
   teams[placement.team].used -= placement.each;
 }
 
-}  // namespace poppystile::bookkeeping
+}  // namespace poppystile::cluster
--- a/src/bookkeeping/model.hpp
+++ b/src/cluster/cluster_state.hpp
@@ -9,13 +9,15 @@
 #include <unordered_map>
 #include <vector>
 
-#include "bookkeeping/records.hpp"
+#include "storage/records.hpp"
 
-namespace poppystile::bookkeeping {
+namespace poppystile::cluster {
 
 using protocol::JobKind;
 using protocol::JobSpec;
 using protocol::Resources;
+using storage::CachedImage;
+using storage::JobRecord;
 
 struct Machine;
 struct Placement;
@@ -174,4 +176,4 @@
   void vacate(Machine& machine, Placement& placement);
 };
 
-}  // namespace poppystile::bookkeeping
+}  // namespace poppystile::cluster
--- a/src/bookkeeping/snapshot.cpp
+++ b/src/cluster/snapshot.cpp
@@ -1,8 +1,15 @@
-#include "bookkeeping/snapshot.hpp"
+#include "cluster/snapshot.hpp"
 
 #include <algorithm>
 
-namespace poppystile::bookkeeping {
+namespace poppystile::cluster {
+
+using storage::finished_bits_entry;
+using storage::hire_entry;
+using storage::image_entry;
+using storage::known_entry;
+using storage::merge_entries;
+using storage::placed_entry;
 
 namespace {
 
@@ -51,4 +58,4 @@
   return out.take();
 }
 
-}  // namespace poppystile::bookkeeping
+}  // namespace poppystile::cluster
--- a/src/bookkeeping/snapshot.hpp
+++ b/src/cluster/snapshot.hpp
@@ -6,10 +6,13 @@
 #include <string>
 #include <vector>
 
-#include "bookkeeping/journal.hpp"
-#include "bookkeeping/model.hpp"
+#include "cluster/cluster_state.hpp"
+#include "storage/journal.hpp"
 
-namespace poppystile::bookkeeping {
+namespace poppystile::cluster {
+
+using storage::Json;
+using storage::RentalRecord;
 
 /// What one entry may carry at most, so that it fits a record.
 struct EntryLimits {
@@ -22,4 +25,4 @@
                                    const std::map<std::string, RentalRecord>& rentals,
                                    const EntryLimits& limits);
 
-}  // namespace poppystile::bookkeeping
+}  // namespace poppystile::cluster
--- a/src/coordination/job_api.cpp
+++ b/src/coordination/api/job_api.cpp
@@ -1,4 +1,4 @@
-#include "coordination/job_api.hpp"
+#include "coordination/api/job_api.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -10,11 +10,11 @@
 
 namespace poppystile::coordination {
 
-using bookkeeping::job_key;
-using bookkeeping::over_key;
 using protocol::JobKind;
 using protocol::JobSpec;
 using protocol::JobState;
+using storage::job_key;
+using storage::over_key;
 using transport::HttpResponse;
 using transport::Respond;
 
@@ -221,8 +221,8 @@
 
 void JobApi::accept(JobSpec job, double since_s, Respond respond) {
   const std::string id = job.id;
-  const bookkeeping::JobRecord record{std::move(job), runtime_.wall_s(), false};
-  const protocol::Json value = bookkeeping::encode(record);
+  const storage::JobRecord record{std::move(job), runtime_.wall_s(), false};
+  const protocol::Json value = storage::encode(record);
   if (value.dump().size() > settings_.state_limits.max_value_bytes())
     return respond({422, protocol::encode_error(too_large)});
   protocol::Transaction transaction;
@@ -277,7 +277,7 @@
   };
   if (known == nullptr) return read_again(id, again);
   const protocol::Json value =
-      bookkeeping::encode_cancelled(known->record, settings_.state_limits.max_value_bytes());
+      storage::encode_cancelled(known->record, settings_.state_limits.max_value_bytes());
   protocol::Transaction transaction;
   transaction.conditions = {{job_key(id), known->version}};
   transaction.changes = {{job_key(id), value.dump(), 0}};
--- a/src/coordination/job_api.hpp
+++ b/src/coordination/api/job_api.hpp
@@ -6,8 +6,8 @@
 #include <utility>
 #include <vector>
 
-#include "coordination/directory.hpp"
-#include "coordination/state_store.hpp"
+#include "coordination/state/key_value_client.hpp"
+#include "coordination/state/shared_state_cache.hpp"
 #include "protocol/settings.hpp"
 #include "transport/http.hpp"
 
--- a/src/coordination/node.cpp
+++ b/src/coordination/controller.cpp
@@ -1,4 +1,4 @@
-#include "coordination/node.hpp"
+#include "coordination/controller.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -56,7 +56,7 @@
   runtime_.after(constants::heartbeat_s, [this] { send_heartbeat(); });
   // Keeps the knowledge of the state service fresh on a node that nobody asks anything.
   if (runtime_.now_s() - store_.last_contact_s() > constants::heartbeat_s)
-    store_.get(bookkeeping::keys::token, Urgency::rest, [](Outcome, auto) {});
+    store_.get(storage::keys::token, Urgency::rest, [](Outcome, auto) {});
   const std::uint64_t redirected_reports = reachability_now_.redirected_reports;
   check_worker_reachability();
   protocol::PeerStatus status;
--- a/src/coordination/node.hpp
+++ b/src/coordination/controller.hpp
@@ -5,13 +5,13 @@
 #include <map>
 #include <string>
 
-#include "coordination/cloud_desk.hpp"
-#include "coordination/directory.hpp"
-#include "coordination/dispatcher.hpp"
-#include "coordination/job_api.hpp"
-#include "coordination/journal_desk.hpp"
-#include "coordination/leadership.hpp"
-#include "coordination/state_store.hpp"
+#include "coordination/api/job_api.hpp"
+#include "coordination/election/leader_election.hpp"
+#include "coordination/fleet/fleet_manager.hpp"
+#include "coordination/journal/journal_writer.hpp"
+#include "coordination/leader/leader.hpp"
+#include "coordination/state/key_value_client.hpp"
+#include "coordination/state/shared_state_cache.hpp"
 #include "protocol/peer_messages.hpp"
 #include "protocol/properties.hpp"
 #include "protocol/settings.hpp"
--- a/src/coordination/leadership.cpp
+++ b/src/coordination/election/leader_election.cpp
@@ -1,4 +1,4 @@
-#include "coordination/leadership.hpp"
+#include "coordination/election/leader_election.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -9,7 +9,7 @@
 
 namespace poppystile::coordination {
 
-namespace keys = bookkeeping::keys;
+namespace keys = storage::keys;
 
 Leadership::Leadership(transport::Runtime& runtime, StateStore& store, Directory& directory,
                        std::string name, std::uint64_t seed)
@@ -64,8 +64,8 @@
   protocol::Transaction transaction;
   transaction.conditions = {{keys::leader, held}, {keys::token, directory_.token_version()}};
   transaction.changes = {
-      {keys::leader, bookkeeping::encode(bookkeeping::LeaderRecord{name_, token}).dump(), lease},
-      {keys::token, bookkeeping::encode_token(token).dump(), 0}};
+      {keys::leader, storage::encode(storage::LeaderRecord{name_, token}).dump(), lease},
+      {keys::token, storage::encode_token(token).dump(), 0}};
   store_.transact(
       transaction, Urgency::lease, [this, lease, token, sent_s](const TransactionResult& result) {
         if (result.outcome == Outcome::ok) {
@@ -76,9 +76,9 @@
           version_ = result.revision;
           won_s_ = confirmed_s_ = renewed_s_ = sent_s;
           spdlog::info("leading token={}", token_);
-          directory_.learn(keys::token, bookkeeping::encode_token(token), version_);
-          directory_.learn(keys::leader,
-                           bookkeeping::encode(bookkeeping::LeaderRecord{name_, token}), version_);
+          directory_.learn(keys::token, storage::encode_token(token), version_);
+          directory_.learn(keys::leader, storage::encode(storage::LeaderRecord{name_, token}),
+                           version_);
           if (on_won_) on_won_();
           return;
         }
--- a/src/coordination/leadership.hpp
+++ b/src/coordination/election/leader_election.hpp
@@ -5,8 +5,8 @@
 #include <random>
 #include <string>
 
-#include "coordination/directory.hpp"
-#include "coordination/state_store.hpp"
+#include "coordination/state/key_value_client.hpp"
+#include "coordination/state/shared_state_cache.hpp"
 
 namespace poppystile::coordination {
 
--- a/src/coordination/cloud_desk.cpp
+++ b/src/coordination/fleet/fleet_manager.cpp
@@ -1,4 +1,4 @@
-#include "coordination/cloud_desk.hpp"
+#include "coordination/fleet/fleet_manager.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -10,7 +10,7 @@
 
 namespace poppystile::coordination {
 
-using bookkeeping::Machine;
+using cluster::Machine;
 using protocol::MachineType;
 using transport::HttpResponse;
 
@@ -29,8 +29,8 @@
   budget_.set_share(constants::cloud_rate_share);
 }
 
-void CloudDesk::begin(bookkeeping::Model& model,
-                      const std::map<std::string, bookkeeping::RentalRecord>& rentals) {
+void CloudDesk::begin(cluster::Model& model,
+                      const std::map<std::string, storage::RentalRecord>& rentals) {
   ++term_;
   model_ = &model;
   began_s_ = runtime_.now_s();
@@ -48,8 +48,8 @@
   }
 }
 
-std::map<std::string, bookkeeping::RentalRecord> CloudDesk::rental_records() const {
-  std::map<std::string, bookkeeping::RentalRecord> out;
+std::map<std::string, storage::RentalRecord> CloudDesk::rental_records() const {
+  std::map<std::string, storage::RentalRecord> out;
   for (const auto& [name, rental] : rentals_) out[name] = rental.record;
   return out;
 }
@@ -77,8 +77,8 @@
 
 Machine* CloudDesk::admit(Machine machine) {
   if (!fill_in(machine)) return nullptr;
-  journal_.append(bookkeeping::known_entry(machine.id, machine.type, machine.zone, machine.spot,
-                                           machine.session, machine.rented_wall_s));
+  journal_.append(storage::known_entry(machine.id, machine.type, machine.zone, machine.spot,
+                                       machine.session, machine.rented_wall_s));
   const std::string id = machine.id;
   return &model_->machines.insert_or_assign(id, std::move(machine)).first->second;
 }
@@ -134,15 +134,15 @@
 // Recorded once, so that a node that starts while the cloud is down can still judge submissions.
 void CloudDesk::record_catalog(const std::vector<MachineType>& types) {
   if (directory_.catalog_version() != 0) return;
-  const protocol::Json value = bookkeeping::encode_catalog(types);
+  const protocol::Json value = storage::encode_catalog(types);
   if (value.dump().size() > settings_.state_limits.max_value_bytes())
     return spdlog::error("catalog too large to be recorded types={}", types.size());
   protocol::Transaction transaction;
-  transaction.conditions = {leadership_.fence(), {bookkeeping::keys::catalog, 0}};
-  transaction.changes = {{bookkeeping::keys::catalog, value.dump(), 0}};
+  transaction.conditions = {leadership_.fence(), {storage::keys::catalog, 0}};
+  transaction.changes = {{storage::keys::catalog, value.dump(), 0}};
   store_.transact(transaction, Urgency::user, [this, value](const TransactionResult& result) {
     if (result.outcome == Outcome::ok)
-      return directory_.learn(bookkeeping::keys::catalog, value, result.revision);
+      return directory_.learn(storage::keys::catalog, value, result.revision);
     catalog_s_ = 0;  // asked for and offered again
   });
 }
@@ -181,11 +181,11 @@
 
 void CloudDesk::settle(const std::string& name) {
   rentals_.erase(name);
-  journal_.append(bookkeeping::hire_settled_entry(name));
+  journal_.append(storage::hire_settled_entry(name));
 }
 
 void CloudDesk::hired(const std::string& name, const std::string& body) {
-  const bookkeeping::RentalRecord record = rentals_[name].record;
+  const storage::RentalRecord record = rentals_[name].record;
   std::vector<std::string> ids;
   try {
     ids = protocol::parse_hired(body);
@@ -238,7 +238,7 @@
         "h-" + std::to_string(leadership_.token()) + "-" + std::to_string(++names_);
     Rental hire{{want.offer.type, want.offer.zone, want.offer.spot, want.count}};
     // The intent is written before the request is made.
-    hire.log_position = journal_.append(bookkeeping::hire_entry(name, hire.record));
+    hire.log_position = journal_.append(storage::hire_entry(name, hire.record));
     rentals_[name] = hire;
   }
   demands_.emplace_back(context.now_s, plan.demand_cpus);
--- a/src/coordination/cloud_desk.hpp
+++ b/src/coordination/fleet/fleet_manager.hpp
@@ -8,11 +8,11 @@
 #include <string>
 #include <vector>
 
-#include "bookkeeping/model.hpp"
-#include "coordination/directory.hpp"
-#include "coordination/journal_desk.hpp"
-#include "coordination/leadership.hpp"
-#include "planning/fleet.hpp"
+#include "cluster/cluster_state.hpp"
+#include "coordination/election/leader_election.hpp"
+#include "coordination/journal/journal_writer.hpp"
+#include "coordination/state/shared_state_cache.hpp"
+#include "planning/autoscaler/autoscaler.hpp"
 #include "protocol/properties.hpp"
 #include "protocol/settings.hpp"
 #include "transport/http.hpp"
@@ -21,7 +21,7 @@
 
 // A rental on its way: recorded, then asked for under its name until there is an answer.
 struct Rental {
-  bookkeeping::RentalRecord record;
+  storage::RentalRecord record;
   std::uint64_t log_position = 0;  // asked for once the journal has landed this far
   bool asking = false;
   bool asked = false;  // so it may be carried out late
@@ -34,20 +34,19 @@
             Directory& directory, Leadership& leadership, JournalDesk& journal,
             const protocol::Settings& settings, const protocol::Properties& properties);
 
-  void begin(bookkeeping::Model& model,
-             const std::map<std::string, bookkeeping::RentalRecord>& rentals);
+  void begin(cluster::Model& model, const std::map<std::string, storage::RentalRecord>& rentals);
   void end();
   void pass();  // called often while leading
   // What was asked for and is not settled yet.
-  std::map<std::string, bookkeeping::RentalRecord> rental_records() const;
+  std::map<std::string, storage::RentalRecord> rental_records() const;
   bool released(const std::string& machine) const { return released_.contains(machine); }
   const protocol::MachineType* type(const std::string& name) const;
   // A machine's fields that follow from its type.
-  bool fill_in(bookkeeping::Machine& machine) const;
+  bool fill_in(cluster::Machine& machine) const;
   // Takes a machine into the model and the journal; nothing when its type is unknown.
-  bookkeeping::Machine* admit(bookkeeping::Machine machine);
+  cluster::Machine* admit(cluster::Machine machine);
   // Tells that everything on a machine is proven gone.
-  void on_gone(std::function<void(bookkeeping::Machine&, const std::string&)> handler) {
+  void on_gone(std::function<void(cluster::Machine&, const std::string&)> handler) {
     on_gone_ = std::move(handler);
   }
 
@@ -77,7 +76,7 @@
   JournalDesk& journal_;
   const protocol::Settings& settings_;
   const protocol::Properties& properties_;
-  bookkeeping::Model* model_ = nullptr;
+  cluster::Model* model_ = nullptr;
   std::vector<protocol::MachineType> types_;  // with current prices; the directory's until then
   std::map<std::string, Rental> rentals_;
   std::set<std::string> to_release_;
@@ -100,7 +99,7 @@
   bool listing_ = false;
   bool releasing_ = false;
   bool catalog_busy_ = false;
-  std::function<void(bookkeeping::Machine&, const std::string&)> on_gone_;
+  std::function<void(cluster::Machine&, const std::string&)> on_gone_;
 };
 
 }  // namespace poppystile::coordination
--- a/src/coordination/journal_desk.cpp
+++ b/src/coordination/journal/journal_writer.cpp
@@ -1,4 +1,4 @@
-#include "coordination/journal_desk.hpp"
+#include "coordination/journal/journal_writer.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -10,10 +10,10 @@
 
 namespace poppystile::coordination {
 
-namespace keys = bookkeeping::keys;
-using bookkeeping::JournalHead;
-using bookkeeping::Json;
-using bookkeeping::Ledger;
+namespace keys = storage::keys;
+using storage::JournalHead;
+using storage::Json;
+using storage::Ledger;
 
 JournalDesk::JournalDesk(transport::Runtime& runtime, StateStore& store, Leadership& leadership,
                          const protocol::Settings& settings)
@@ -54,7 +54,7 @@
                                                                const protocol::EntryPage& page) {
                     if (term != term_) return;
                     if (outcome != Outcome::ok) return later([this, done] { list(done); });
-                    bookkeeping::JournalReader reader;
+                    storage::JournalReader reader;
                     std::optional<Ledger> ledger;
                     try {
                       for (const auto& each : page.entries) versions_[each.key] = each.version;
@@ -135,7 +135,7 @@
 }
 
 std::uint64_t JournalDesk::append(Json entry) {
-  if (pending_.empty() || !bookkeeping::merge_entries(pending_.back(), entry, max_entry_runs()))
+  if (pending_.empty() || !storage::merge_entries(pending_.back(), entry, max_entry_runs()))
     pending_.push_back(std::move(entry));
   return ++appended_;
 }
@@ -161,8 +161,8 @@
   for (const auto& texts : grouped(std::exchange(pending_, {}))) {
     Record segment;
     segment.number = next_number_++;
-    segment.key = bookkeeping::segment_key(segment.number % constants::journal_ring);
-    segment.value = bookkeeping::encode_part(segment.number, leadership_.token(), texts);
+    segment.key = storage::segment_key(segment.number % constants::journal_ring);
+    segment.value = storage::encode_part(segment.number, leadership_.token(), texts);
     segment.log_position = landed_;
     bytes_since_ += segment.value.size();
     segments_.push_back(std::move(segment));
@@ -186,8 +186,8 @@
   for (const auto& texts : grouped(on_snapshot_())) {
     Record part;
     part.number = next_head_->generation;
-    part.key = bookkeeping::snapshot_key(part.number, next_head_->parts++);
-    part.value = bookkeeping::encode_part(part.number, leadership_.token(), texts);
+    part.key = storage::snapshot_key(part.number, next_head_->parts++);
+    part.value = storage::encode_part(part.number, leadership_.token(), texts);
     snapshot_bytes_ += part.value.size();
     parts_.push_back(std::move(part));
   }
@@ -232,7 +232,7 @@
   if (!next_head_ || !parts_.empty() || batch_.size() >= most) return;
   Record record;
   record.key = keys::journal_head;
-  record.value = bookkeeping::encode(*next_head_).dump();
+  record.value = storage::encode(*next_head_).dump();
   record.number = next_head_->generation;
   batch_.push_back(std::move(record));
 }
--- a/src/coordination/journal_desk.hpp
+++ b/src/coordination/journal/journal_writer.hpp
@@ -1,4 +1,4 @@
-// Reads and writes the leader's journal (bookkeeping/journal.hpp) in the state service.
+// Reads and writes the leader's journal (storage/journal.hpp) in the state service.
 //
 // Segments go to a ring of keys, one transaction at a time, each conditional on the leader's own
 // key and on the versions of the keys it overwrites. A transaction whose outcome is unknown is sent
@@ -15,10 +15,10 @@
 #include <unordered_map>
 #include <vector>
 
-#include "bookkeeping/journal.hpp"
-#include "coordination/leadership.hpp"
-#include "coordination/state_store.hpp"
+#include "coordination/election/leader_election.hpp"
+#include "coordination/state/key_value_client.hpp"
 #include "protocol/settings.hpp"
+#include "storage/journal.hpp"
 
 namespace poppystile::coordination {
 
@@ -29,12 +29,12 @@
 
   // Reads what the former leaders wrote; nothing when it cannot be understood. After that,
   // `wipe` starts an empty journal in its place.
-  void load(std::function<void(std::optional<bookkeeping::Ledger>)> done);
+  void load(std::function<void(std::optional<storage::Ledger>)> done);
   void wipe(const std::function<void()>& done);
   void end();  // this node no longer leads
 
   // Returns the log_position up to which the journal must land for the entry to be durable.
-  std::uint64_t append(bookkeeping::Json entry);
+  std::uint64_t append(storage::Json entry);
   bool durable(std::uint64_t log_position) const { return log_position <= landed_; }
   // What one entry may carry at most, so that it fits a record.
   std::size_t max_entry_runs() const;
@@ -46,7 +46,7 @@
   std::uint64_t segments_since_snapshot() const { return next_number_ - head_.from; }
   void on_landed(std::function<void()> handler) { on_landed_ = std::move(handler); }
   // Asked for the entries that describe everything appended so far.
-  void on_snapshot(std::function<std::vector<bookkeeping::Json>()> handler) {
+  void on_snapshot(std::function<std::vector<storage::Json>()> handler) {
     on_snapshot_ = std::move(handler);
   }
 
@@ -58,10 +58,9 @@
     std::uint64_t log_position = 0;  // of a segment: everything up to here is in it
   };
 
-  void list(std::function<void(std::optional<bookkeeping::Ledger>)> done);
-  void look_for_old_form(const std::function<void(std::optional<bookkeeping::Ledger>)>& done);
-  std::vector<std::vector<std::string>> grouped(
-      const std::vector<bookkeeping::Json>& entries) const;
+  void list(std::function<void(std::optional<storage::Ledger>)> done);
+  void look_for_old_form(const std::function<void(std::optional<storage::Ledger>)>& done);
+  std::vector<std::vector<std::string>> grouped(const std::vector<storage::Json>& entries) const;
   void cut();
   void consider_snapshot();
   void make_batch();
@@ -79,20 +78,20 @@
   std::uint64_t term_ = 0;
   bool open_ = false;
   std::unordered_map<std::string, std::uint64_t> versions_;  // of all keys of the journal
-  std::vector<bookkeeping::Json> pending_;
+  std::vector<storage::Json> pending_;
   std::uint64_t appended_ = 0, landed_ = 0;  // marks
   std::uint64_t next_number_ = 1;
   std::deque<Record> segments_;  // cut, not in a batch yet
   std::deque<Record> parts_;     // of the snapshot under way
   std::vector<Record> batch_;    // in a transaction, or to be sent again
-  bookkeeping::JournalHead head_;
-  std::optional<bookkeeping::JournalHead> next_head_;  // of the snapshot under way
-  std::size_t snapshot_bytes_ = 0;                     // of the newest snapshot
-  std::size_t bytes_since_ = 0;                        // of segments since it
+  storage::JournalHead head_;
+  std::optional<storage::JournalHead> next_head_;  // of the snapshot under way
+  std::size_t snapshot_bytes_ = 0;                 // of the newest snapshot
+  std::size_t bytes_since_ = 0;                    // of segments since it
   bool busy_ = false;
   double send_at_s_ = 0;
   std::function<void()> on_landed_;
-  std::function<std::vector<bookkeeping::Json>()> on_snapshot_;
+  std::function<std::vector<storage::Json>()> on_snapshot_;
 };
 
 }  // namespace poppystile::coordination
--- a/src/coordination/gang_tracker.cpp
+++ b/src/coordination/leader/gang_tracker.cpp
@@ -1,4 +1,4 @@
-#include "coordination/gang_tracker.hpp"
+#include "coordination/leader/gang_tracker.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -8,10 +8,10 @@
 
 namespace poppystile::coordination {
 
-using bookkeeping::GangAttempt;
-using bookkeeping::Job;
+using cluster::GangAttempt;
+using cluster::Job;
 using protocol::TaskState;
-using Phase = bookkeeping::GangAttempt::Phase;
+using Phase = cluster::GangAttempt::Phase;
 
 namespace {
 
--- a/src/coordination/gang_tracker.hpp
+++ b/src/coordination/leader/gang_tracker.hpp
@@ -10,7 +10,7 @@
 
 #include <cstdint>
 
-#include "bookkeeping/model.hpp"
+#include "cluster/cluster_state.hpp"
 #include "protocol/settings.hpp"
 #include "protocol/worker_messages.hpp"
 
@@ -21,26 +21,26 @@
   explicit GangTracker(const protocol::Settings& settings) : settings_(settings) {}
 
   /// Tasks of the gang were placed: a new attempt with this number, or replacements in it.
-  static void on_placed(bookkeeping::Job& gang, std::uint64_t attempt, double now_s);
+  static void on_placed(cluster::Job& gang, std::uint64_t attempt, double now_s);
   /// Derives the attempt from the placements that a former leader left. One that is named only in
   /// part is given up.
-  static void on_restored(bookkeeping::Job& gang, double now_s);
-  static void on_reported(bookkeeping::Job& gang, protocol::TaskState state, double now_s);
+  static void on_restored(cluster::Job& gang, double now_s);
+  static void on_reported(cluster::Job& gang, protocol::TaskState state, double now_s);
   /// A task was proven to be off the machine without having completed; it is requeued already.
-  static void on_task_lost(bookkeeping::Job& gang, const std::string& machine, double now_s);
+  static void on_task_lost(cluster::Job& gang, const std::string& machine, double now_s);
 
   /// Lets all tasks save and stop together.
-  static void stop(bookkeeping::Job& gang);
+  static void stop(cluster::Job& gang);
   /// Ends the attempt: nothing is left to save.
-  static void abandon(bookkeeping::Job& gang);
+  static void abandon(cluster::Job& gang);
   /// Abandons an attempt whose lost task was not replaced in time.
-  void check_assembly(bookkeeping::Job& gang, double now_s) const;
+  void check_assembly(cluster::Job& gang, double now_s) const;
 
   /// Seconds that a stopped task gets: to save, and to wait until all others have been told.
-  double stop_grace_s(const bookkeeping::Job& gang) const;
+  double stop_grace_s(const cluster::Job& gang) const;
 
  private:
-  static void stop_placements(bookkeeping::Job& gang);
+  static void stop_placements(cluster::Job& gang);
 
   const protocol::Settings& settings_;
 };
--- a/src/coordination/report_handler.cpp
+++ b/src/coordination/leader/heartbeat_handler.cpp
@@ -1,4 +1,4 @@
-#include "coordination/report_handler.hpp"
+#include "coordination/leader/heartbeat_handler.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -6,14 +6,14 @@
 #include <utility>
 
 #include "constants.hpp"
-#include "coordination/lease_time.hpp"
+#include "coordination/election/lease_time.hpp"
 
 namespace poppystile::coordination {
 
-using bookkeeping::Job;
-using bookkeeping::Machine;
-using bookkeeping::Placement;
-using bookkeeping::PlacementPhase;
+using cluster::Job;
+using cluster::Machine;
+using cluster::Placement;
+using cluster::PlacementPhase;
 using protocol::Command;
 using protocol::ExitCause;
 using protocol::ReportedTask;
@@ -110,7 +110,7 @@
   }
   machine.session = session;
   machine.session_s = now;
-  journal_.append(bookkeeping::session_entry(machine.id, session));
+  journal_.append(storage::session_entry(machine.id, session));
 }
 
 // A worker that hears nobody tries one node after the other, so its reports come to us seldom, and
@@ -146,8 +146,8 @@
                        std::make_pair(report.session, report.sequence);
     if (!newer) continue;
     const Job* job = model_.job(each.job);
-    const bool gang_runs = job != nullptr && job->is_gang() &&
-                           job->gang.phase == bookkeeping::GangAttempt::Phase::running;
+    const bool gang_runs =
+        job != nullptr && job->is_gang() && job->gang.phase == cluster::GangAttempt::Phase::running;
     if (each.shown != 0 || each.stopping || gang_runs) {
       end(machine, each);
     } else if (each.sent_session != 0 && ++each.unheard >= constants::unheard_starts) {
@@ -188,7 +188,7 @@
 void ReportHandler::note_image(Machine& machine, const Job& job) {
   const bool known = machine.holds(job.spec().image);
   machine.touch_image(job.spec().image, job.spec().image_gb);
-  if (!known) journal_.append(bookkeeping::image_entry(machine.id, machine.images.back()));
+  if (!known) journal_.append(storage::image_entry(machine.id, machine.images.back()));
 }
 
 void ReportHandler::exited(Machine& machine, Placement& placement, ExitCause cause) {
@@ -209,8 +209,7 @@
   job->trust();
   job->finish(placement.index);
   // The worker keeps the task until this has landed.
-  placement.log_position =
-      journal_.append(bookkeeping::finished_entry(placement.job, placement.index));
+  placement.log_position = journal_.append(storage::finished_entry(placement.job, placement.index));
   finalizer_.consider(placement.job, *job);
 }
 
@@ -222,8 +221,7 @@
   machine.failed_jobs.clear();
   gang.trust();
   gang.finish_all();
-  placement.log_position =
-      journal_.append(bookkeeping::finished_entry(placement.job, placement.index));
+  placement.log_position = journal_.append(storage::finished_entry(placement.job, placement.index));
   finalizer_.consider(placement.job, gang);
 }
 
@@ -269,8 +267,8 @@
 double ReportHandler::stop_grace_s(const Job* job) const {
   if (job == nullptr || job->record.cancelled || job->spec().checkpoint_s <= 0) return 0;
   if (!job->is_gang()) return job->spec().save_s;
-  const bool saves = job->gang.phase == bookkeeping::GangAttempt::Phase::running ||
-                     job->gang.phase == bookkeeping::GangAttempt::Phase::stopping;
+  const bool saves = job->gang.phase == cluster::GangAttempt::Phase::running ||
+                     job->gang.phase == cluster::GangAttempt::Phase::stopping;
   return saves ? gangs_.stop_grace_s(*job) : 0;
 }
 
@@ -308,7 +306,7 @@
   request_plan_();
   Job* job = model_.job(placement.job);
   if (job == nullptr) return;
-  journal_.append(bookkeeping::ended_entry(placement.job, placement.index));
+  journal_.append(storage::ended_entry(placement.job, placement.index));
   if (job->is_task_finished(placement.index)) return;  // of a gang that is done
   job->requeue(placement.index);
   if (job->is_gang()) GangTracker::on_task_lost(*job, machine.id, runtime_.now_s());
--- a/src/coordination/report_handler.hpp
+++ b/src/coordination/leader/heartbeat_handler.hpp
@@ -10,12 +10,12 @@
 #include <string>
 #include <vector>
 
-#include "bookkeeping/model.hpp"
-#include "coordination/cloud_desk.hpp"
-#include "coordination/gang_tracker.hpp"
-#include "coordination/job_finalizer.hpp"
-#include "coordination/journal_desk.hpp"
-#include "coordination/leadership.hpp"
+#include "cluster/cluster_state.hpp"
+#include "coordination/election/leader_election.hpp"
+#include "coordination/fleet/fleet_manager.hpp"
+#include "coordination/journal/journal_writer.hpp"
+#include "coordination/leader/gang_tracker.hpp"
+#include "coordination/leader/job_finalizer.hpp"
 #include "protocol/settings.hpp"
 #include "protocol/worker_messages.hpp"
 
@@ -24,7 +24,7 @@
 class ReportHandler {
  public:
   /// `request_plan` is called when tasks may be placed that could not be before.
-  ReportHandler(transport::Runtime& runtime, bookkeeping::Model& model, Leadership& leadership,
+  ReportHandler(transport::Runtime& runtime, cluster::Model& model, Leadership& leadership,
                 JournalDesk& journal, CloudDesk& cloud, JobFinalizer& finalizer,
                 const protocol::Settings& settings, std::function<void()> request_plan)
       : runtime_(runtime),
@@ -38,44 +38,42 @@
         request_plan_(std::move(request_plan)) {}
 
   /// The machine that sent the report, taken in if it may be; null if not.
-  bookkeeping::Machine* known_machine(const protocol::Report& report);
+  cluster::Machine* known_machine(const protocol::Report& report);
   /// Takes in a report that is newer than all before it.
-  void reconcile(bookkeeping::Machine& machine, const protocol::Report& report);
+  void reconcile(cluster::Machine& machine, const protocol::Report& report);
   /// Stops, and leave to forget what has exited.
-  std::vector<protocol::Command> commands_for(bookkeeping::Machine& machine,
+  std::vector<protocol::Command> commands_for(cluster::Machine& machine,
                                               const protocol::Report& report);
   /// Counts sessions that end without showing a start that was sent.
-  void judge_session(bookkeeping::Machine& machine);
+  void judge_session(cluster::Machine& machine);
   /// Everything on the machine is proven to be gone.
-  void end_all(bookkeeping::Machine& machine, const std::string& why);
+  void end_all(cluster::Machine& machine, const std::string& why);
 
   /// Stops the task; of a gang all of them together.
-  void stop_task(bookkeeping::Placement& placement);
+  void stop_task(cluster::Placement& placement);
   /// Stops all tasks of a job that is cancelled.
   void stop_all(const std::string& job);
   /// Gives up gangs whose lost tasks were not replaced in time.
-  void check_assembly(bookkeeping::Job& gang) { gangs_.check_assembly(gang, runtime_.now_s()); }
+  void check_assembly(cluster::Job& gang) { gangs_.check_assembly(gang, runtime_.now_s()); }
 
  private:
-  void new_session(bookkeeping::Machine& machine, std::uint64_t session);
-  void observe(bookkeeping::Machine& machine, bookkeeping::Placement& placement,
+  void new_session(cluster::Machine& machine, std::uint64_t session);
+  void observe(cluster::Machine& machine, cluster::Placement& placement,
                const protocol::ReportedTask& seen);
-  void judge_unshown(bookkeeping::Machine& machine, const protocol::Report& report);
-  void exited(bookkeeping::Machine& machine, bookkeeping::Placement& placement,
-              protocol::ExitCause cause);
-  void gang_done(bookkeeping::Machine& machine, bookkeeping::Placement& placement,
-                 bookkeeping::Job& gang);
-  void failed(bookkeeping::Machine& machine, const bookkeeping::Placement& placement,
+  void judge_unshown(cluster::Machine& machine, const protocol::Report& report);
+  void exited(cluster::Machine& machine, cluster::Placement& placement, protocol::ExitCause cause);
+  void gang_done(cluster::Machine& machine, cluster::Placement& placement, cluster::Job& gang);
+  void failed(cluster::Machine& machine, const cluster::Placement& placement,
               protocol::ExitCause cause);
   /// Seconds that a task which is being stopped has to save; 0 where nothing can be saved.
-  double stop_grace_s(const bookkeeping::Job* job) const;
-  void suspect(bookkeeping::Machine& machine, const std::string& why);
-  void note_image(bookkeeping::Machine& machine, const bookkeeping::Job& job);
-  void end(bookkeeping::Machine& machine, bookkeeping::Placement& placement);
-  static void drop_ended(bookkeeping::Machine& machine);
+  double stop_grace_s(const cluster::Job* job) const;
+  void suspect(cluster::Machine& machine, const std::string& why);
+  void note_image(cluster::Machine& machine, const cluster::Job& job);
+  void end(cluster::Machine& machine, cluster::Placement& placement);
+  static void drop_ended(cluster::Machine& machine);
 
   transport::Runtime& runtime_;
-  bookkeeping::Model& model_;
+  cluster::Model& model_;
   Leadership& leadership_;
   JournalDesk& journal_;
   CloudDesk& cloud_;
--- a/src/coordination/job_finalizer.cpp
+++ b/src/coordination/leader/job_finalizer.cpp
@@ -1,4 +1,4 @@
-#include "coordination/job_finalizer.hpp"
+#include "coordination/leader/job_finalizer.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -8,7 +8,7 @@
 
 namespace poppystile::coordination {
 
-using bookkeeping::Job;
+using cluster::Job;
 using protocol::JobState;
 
 void JobFinalizer::reset() {
@@ -46,11 +46,11 @@
     const std::string id = due_.extract(due_.begin()).value();
     const Job* job = model_.job(id);
     if (job == nullptr) continue;
-    transaction.conditions.push_back({bookkeeping::over_key(id), 0});
-    transaction.conditions.push_back({bookkeeping::job_key(id), job->version});
+    transaction.conditions.push_back({storage::over_key(id), 0});
+    transaction.conditions.push_back({storage::job_key(id), job->version});
     transaction.changes.push_back(
-        {bookkeeping::over_key(id), bookkeeping::encode_over(final_state(*job)).dump(), 0});
-    transaction.changes.push_back({bookkeeping::job_key(id), std::nullopt, 0});
+        {storage::over_key(id), storage::encode_over(final_state(*job)).dump(), 0});
+    transaction.changes.push_back({storage::job_key(id), std::nullopt, 0});
     jobs.push_back(id);
   }
   return jobs;
@@ -71,8 +71,8 @@
     if (job == nullptr) continue;
     const JobState state = final_state(*job);
     spdlog::info("job over id={} state={}", id, protocol::state_word(state));
-    directory_.learn(bookkeeping::over_key(id), bookkeeping::encode_over(state), result.revision);
-    directory_.learn(bookkeeping::job_key(id), std::nullopt, result.revision);
+    directory_.learn(storage::over_key(id), storage::encode_over(state), result.revision);
+    directory_.learn(storage::job_key(id), std::nullopt, result.revision);
   }
 }
 
@@ -84,7 +84,7 @@
   for (const auto& id : jobs) {
     const Job* job = model_.job(id);
     const bool moved = std::find(result.failed.begin(), result.failed.end(),
-                                 bookkeeping::job_key(id)) != result.failed.end();
+                                 storage::job_key(id)) != result.failed.end();
     if (job != nullptr && !moved) consider(id, *job);
   }
 }
--- a/src/coordination/job_finalizer.hpp
+++ b/src/coordination/leader/job_finalizer.hpp
@@ -9,17 +9,17 @@
 #include <string>
 #include <vector>
 
-#include "bookkeeping/model.hpp"
-#include "coordination/directory.hpp"
-#include "coordination/leadership.hpp"
-#include "coordination/state_store.hpp"
+#include "cluster/cluster_state.hpp"
+#include "coordination/election/leader_election.hpp"
+#include "coordination/state/key_value_client.hpp"
+#include "coordination/state/shared_state_cache.hpp"
 #include "protocol/settings.hpp"
 
 namespace poppystile::coordination {
 
 class JobFinalizer {
  public:
-  JobFinalizer(transport::Runtime& runtime, bookkeeping::Model& model, Directory& directory,
+  JobFinalizer(transport::Runtime& runtime, cluster::Model& model, Directory& directory,
                StateStore& store, Leadership& leadership, const protocol::Settings& settings)
       : runtime_(runtime),
         model_(model),
@@ -31,7 +31,7 @@
   /// Forgets everything: this node begins or ends to lead.
   void reset();
   /// Notes the job when its final record is due.
-  void consider(const std::string& id, const bookkeeping::Job& job);
+  void consider(const std::string& id, const cluster::Job& job);
   void forget(const std::string& id) { due_.erase(id); }
   /// Called often while leading.
   void pump();
@@ -39,12 +39,12 @@
  private:
   /// As many of the due jobs as fit into one transaction.
   std::vector<std::string> take_due(protocol::Transaction& transaction);
-  static protocol::JobState final_state(const bookkeeping::Job& job);
+  static protocol::JobState final_state(const cluster::Job& job);
   void settled(const std::vector<std::string>& jobs, const TransactionResult& result);
   void postpone(const std::vector<std::string>& jobs, const TransactionResult& result);
 
   transport::Runtime& runtime_;
-  bookkeeping::Model& model_;
+  cluster::Model& model_;
   Directory& directory_;
   StateStore& store_;
   Leadership& leadership_;
--- a/src/coordination/dispatcher.cpp
+++ b/src/coordination/leader/leader.cpp
@@ -1,25 +1,25 @@
-#include "coordination/dispatcher.hpp"
+#include "coordination/leader/leader.hpp"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 #include <utility>
 
-#include "bookkeeping/snapshot.hpp"
+#include "cluster/snapshot.hpp"
 #include "constants.hpp"
-#include "coordination/lease_time.hpp"
+#include "coordination/election/lease_time.hpp"
 #include "planning/planner.hpp"
 
 namespace poppystile::coordination {
 
-using bookkeeping::Job;
-using bookkeeping::Ledger;
-using bookkeeping::LedgerMachine;
-using bookkeeping::Machine;
-using bookkeeping::Placement;
-using bookkeeping::PlacementPhase;
-using bookkeeping::TaskPhase;
+using cluster::Job;
+using cluster::Machine;
+using cluster::Placement;
+using cluster::PlacementPhase;
+using cluster::TaskPhase;
 using protocol::Command;
+using storage::Ledger;
+using storage::LedgerMachine;
 using transport::HttpResponse;
 using transport::Respond;
 
@@ -42,13 +42,13 @@
   directory_.on_job([this](const std::string& id) { job_changed(id); });
   journal_.on_landed([this] { answer_pending(); });
   journal_.on_snapshot([this] {
-    return bookkeeping::snapshot_entries(model_, cloud_.rental_records(),
-                                         {journal_.max_entry_runs(), journal_.max_bitmap_tasks()});
+    return cluster::snapshot_entries(model_, cloud_.rental_records(),
+                                     {journal_.max_entry_runs(), journal_.max_bitmap_tasks()});
   });
   cloud_.on_gone([this](Machine& machine, const std::string& why) {
     reports_.end_all(machine, why);
     pending_responses_.erase(machine.id);
-    journal_.append(bookkeeping::gone_entry(machine.id));
+    journal_.append(storage::gone_entry(machine.id));
     model_.machines.erase(std::string(machine.id));
   });
 }
@@ -59,7 +59,7 @@
 
 void Dispatcher::won() {
   ++term_;
-  attempts_ = bookkeeping::AttemptNumbers(leadership_.token());
+  attempts_ = cluster::AttemptNumbers(leadership_.token());
   store_.set_share(constants::leader_rate_share);
   load(term_);
 }
@@ -265,7 +265,7 @@
   const auto job = model_.jobs.find(placement.job);
   // A task of a gang that runs has been started, and is gone if it is not shown.
   return job == model_.jobs.end() || !job->second.is_gang() ||
-         job->second.gang.phase == bookkeeping::GangAttempt::Phase::assembling;
+         job->second.gang.phase == cluster::GangAttempt::Phase::assembling;
 }
 
 void Dispatcher::answer_pending_of(const std::string& id) {
@@ -422,7 +422,7 @@
     const std::uint64_t attempt = job.is_gang() ? job.gang.number : plan_attempt;
     Placement& placed = model_.place(machine, job, attempt, now_s);
     placed.log_position =
-        journal_.append(bookkeeping::placed_entry(placed.job, attempt, machine.id, placed.index));
+        journal_.append(storage::placed_entry(placed.job, attempt, machine.id, placed.index));
     if (job.is_gang()) gang_positions[job.spec().id] = placed.log_position;
     spdlog::debug("task placed job={} index={} machine={}", placed.job, placed.index, machine.id);
   }
--- a/src/coordination/dispatcher.hpp
+++ b/src/coordination/leader/leader.hpp
@@ -8,15 +8,15 @@
 #include <string>
 #include <vector>
 
-#include "bookkeeping/attempt_numbers.hpp"
-#include "bookkeeping/model.hpp"
-#include "coordination/cloud_desk.hpp"
-#include "coordination/directory.hpp"
-#include "coordination/job_api.hpp"
-#include "coordination/job_finalizer.hpp"
-#include "coordination/journal_desk.hpp"
-#include "coordination/leadership.hpp"
-#include "coordination/report_handler.hpp"
+#include "cluster/attempt_numbers.hpp"
+#include "cluster/cluster_state.hpp"
+#include "coordination/api/job_api.hpp"
+#include "coordination/election/leader_election.hpp"
+#include "coordination/fleet/fleet_manager.hpp"
+#include "coordination/journal/journal_writer.hpp"
+#include "coordination/leader/heartbeat_handler.hpp"
+#include "coordination/leader/job_finalizer.hpp"
+#include "coordination/state/shared_state_cache.hpp"
 #include "planning/planner.hpp"
 #include "protocol/properties.hpp"
 #include "protocol/worker_messages.hpp"
@@ -52,20 +52,20 @@
   void won();
   void lost();
   void load(std::uint64_t term);
-  void build(const bookkeeping::Ledger& ledger);
-  void restore_machine(const std::string& id, const bookkeeping::LedgerMachine& known,
-                       const bookkeeping::Ledger& ledger);
+  void build(const storage::Ledger& ledger);
+  void restore_machine(const std::string& id, const storage::LedgerMachine& known,
+                       const storage::Ledger& ledger);
 
   // --- jobs ---
   void job_changed(const std::string& id);
-  bookkeeping::Job& add_job(const std::string& id, const KnownJob& known);
+  cluster::Job& add_job(const std::string& id, const KnownJob& known);
 
   // --- reports ---
-  bool may_start(const bookkeeping::Placement& placement) const;
-  bool start_under_way(const bookkeeping::Machine& machine) const;
+  bool may_start(const cluster::Placement& placement) const;
+  bool start_under_way(const cluster::Machine& machine) const;
   void answer_pending_of(const std::string& machine);
   void answer_pending();
-  void send_answer(bookkeeping::Machine& machine, PendingResponse answer);
+  void send_answer(cluster::Machine& machine, PendingResponse answer);
 
   // --- passes ---
   void tick();
@@ -88,7 +88,7 @@
   const protocol::Settings& settings_;
   const protocol::Properties& properties_;
   std::map<std::string, planning::GangWait> waiting_gangs_;  // of the newest plan
-  bookkeeping::Model model_;
+  cluster::Model model_;
   JobFinalizer finalizer_;
   ReportHandler reports_;
   std::uint64_t term_ = 0;  // counts takeovers, to drop what belongs to an earlier one
@@ -96,7 +96,7 @@
   bool quiet_ = false;  // nothing is known of what runs: workers are not answered
   double ready_s_ = 0;
   std::uint64_t plans_ = 0;  // tells whether a plan was made since a report came
-  bookkeeping::AttemptNumbers attempts_;
+  cluster::AttemptNumbers attempts_;
   bool plan_due_ = false;
   double plan_at_s_ = 0;
   double leases_s_ = 0;
--- a/src/coordination/state_store.cpp
+++ b/src/coordination/state/key_value_client.cpp
@@ -1,4 +1,4 @@
-#include "coordination/state_store.hpp"
+#include "coordination/state/key_value_client.hpp"
 
 #include <spdlog/spdlog.h>
 
--- a/src/coordination/directory.cpp
+++ b/src/coordination/state/shared_state_cache.cpp
@@ -1,4 +1,4 @@
-#include "coordination/directory.hpp"
+#include "coordination/state/shared_state_cache.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -8,7 +8,7 @@
 
 namespace poppystile::coordination {
 
-namespace keys = bookkeeping::keys;
+namespace keys = storage::keys;
 using protocol::Json;
 
 Directory::Directory(transport::Runtime& runtime, StateStore& store)
@@ -33,30 +33,32 @@
 void Directory::load() {
   const double asked = runtime_.now_s();
   const double asked_wall = runtime_.wall_s();
-  store_.list_all(
-      keys::shared, Urgency::user,
-      [this, asked, asked_wall](Outcome outcome, const protocol::EntryPage& all) {
-        if (outcome != Outcome::ok) {
-          runtime_.after(constants::state_retry_s, [this] { load(); });
-          return;
-        }
-        // After a gap in the watch, what is not listed any more has been deleted meanwhile.
-        std::map<std::string, bool> listed;
-        for (const auto& each : all.entries) listed[each.key] = true;
-        std::vector<std::string> vanished;
-        for (const auto& [id, known] : jobs_)
-          if (!listed.contains(bookkeeping::job_key(id)) && known.version <= all.revision)
-            vanished.push_back(id);
-        for (const auto& each : all.entries) apply(each.key, each.value, each.version);
-        for (const auto& id : vanished) apply_job(id, std::nullopt, all.revision);
-        if (!listed.contains(keys::leader)) apply(keys::leader, std::nullopt, all.revision);
-        if (!loaded_) spdlog::info("directory loaded jobs={} over={}", jobs_.size(), over_.size());
-        loaded_ = true;
-        revision_ = std::max(revision_, all.revision);
-        proven(asked, asked_wall);
-        if (on_leader_) on_leader_();
-        follow(all.revision);
-      });
+  store_.list_all(keys::shared, Urgency::user,
+                  [this, asked, asked_wall](Outcome outcome, const protocol::EntryPage& all) {
+                    if (outcome != Outcome::ok) {
+                      runtime_.after(constants::state_retry_s, [this] { load(); });
+                      return;
+                    }
+                    // After a gap in the watch, what is not listed any more has been deleted
+                    // meanwhile.
+                    std::map<std::string, bool> listed;
+                    for (const auto& each : all.entries) listed[each.key] = true;
+                    std::vector<std::string> vanished;
+                    for (const auto& [id, known] : jobs_)
+                      if (!listed.contains(storage::job_key(id)) && known.version <= all.revision)
+                        vanished.push_back(id);
+                    for (const auto& each : all.entries) apply(each.key, each.value, each.version);
+                    for (const auto& id : vanished) apply_job(id, std::nullopt, all.revision);
+                    if (!listed.contains(keys::leader))
+                      apply(keys::leader, std::nullopt, all.revision);
+                    if (!loaded_)
+                      spdlog::info("directory loaded jobs={} over={}", jobs_.size(), over_.size());
+                    loaded_ = true;
+                    revision_ = std::max(revision_, all.revision);
+                    proven(asked, asked_wall);
+                    if (on_leader_) on_leader_();
+                    follow(all.revision);
+                  });
 }
 
 void Directory::follow(std::uint64_t after) {
@@ -90,19 +92,19 @@
       // Final: whatever is written there is never changed or removed.
       const std::string id = key.substr(keys::over.size());
       if (!value) return;
-      over_.emplace(id, bookkeeping::decode_over(*value));
+      over_.emplace(id, storage::decode_over(*value));
       cancelled_.erase(id);
     } else if (key == keys::leader) {
       if (version < leader_seen_) return;
       leader_seen_ = version;
       leader_.reset();
-      if (value) leader_ = KnownLeader{bookkeeping::decode_leader(*value), version};
+      if (value) leader_ = KnownLeader{storage::decode_leader(*value), version};
       if (loaded_ && on_leader_) on_leader_();
     } else if (key == keys::token && value && version > token_version_) {
-      token_ = bookkeeping::decode_token(*value);
+      token_ = storage::decode_token(*value);
       token_version_ = version;
     } else if (key == keys::catalog && value && version > catalog_version_) {
-      types_ = bookkeeping::decode_catalog(*value);
+      types_ = storage::decode_catalog(*value);
       catalog_version_ = version;
     }
   } catch (const protocol::DecodeError& problem) {
@@ -117,7 +119,7 @@
   if (value) {
     // A record read long ago must not bring back a job that is over.
     if (over_.contains(id)) return;
-    KnownJob job{bookkeeping::decode_job(*value), version};
+    KnownJob job{storage::decode_job(*value), version};
     // A cancellation is for good: an older record that comes after a sibling told of it, or in the
     // listing after a gap, must not undo it.
     if (cancelled_.contains(id)) job.record.cancelled = true;
--- a/src/coordination/directory.hpp
+++ b/src/coordination/state/shared_state_cache.hpp
@@ -10,18 +10,18 @@
 #include <unordered_map>
 #include <vector>
 
-#include "bookkeeping/records.hpp"
-#include "coordination/state_store.hpp"
+#include "coordination/state/key_value_client.hpp"
+#include "storage/records.hpp"
 
 namespace poppystile::coordination {
 
 struct KnownJob {
-  bookkeeping::JobRecord record;
+  storage::JobRecord record;
   std::uint64_t version = 0;
 };
 
 struct KnownLeader {
-  bookkeeping::LeaderRecord record;
+  storage::LeaderRecord record;
   std::uint64_t version = 0;
 };
 
--- a/src/planning/array_batches.cpp
+++ b/src/planning/array_batches.cpp
@@ -6,7 +6,7 @@
 
 namespace poppystile::planning {
 
-using bookkeeping::Job;
+using cluster::Job;
 using protocol::JobSpec;
 using protocol::Resources;
 
--- a/src/planning/fleet.cpp
+++ b/src/planning/autoscaler/autoscaler.cpp
@@ -1,4 +1,4 @@
-#include "planning/fleet.hpp"
+#include "planning/autoscaler/autoscaler.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -12,9 +12,9 @@
 
 namespace poppystile::planning {
 
-using bookkeeping::Job;
-using bookkeeping::Machine;
-using bookkeeping::Model;
+using cluster::Job;
+using cluster::Machine;
+using cluster::Model;
 using protocol::JobKind;
 using protocol::JobSpec;
 using protocol::MachineType;
@@ -296,9 +296,9 @@
   }
 
   // The job of a replica that is there; nothing for an array's task or what has exited.
-  const JobSpec* service_of(const bookkeeping::Placement& placement) const {
+  const JobSpec* service_of(const cluster::Placement& placement) const {
     const auto job = model_.jobs.find(placement.job);
-    if (placement.phase == bookkeeping::PlacementPhase::exited || job == model_.jobs.end() ||
+    if (placement.phase == cluster::PlacementPhase::exited || job == model_.jobs.end() ||
         job->second.spec().kind != JobKind::service)
       return nullptr;
     return &job->second.spec();
--- a/src/planning/fleet.hpp
+++ b/src/planning/autoscaler/autoscaler.hpp
@@ -6,7 +6,7 @@
 #include <tuple>
 #include <vector>
 
-#include "bookkeeping/model.hpp"
+#include "cluster/cluster_state.hpp"
 #include "protocol/cloud_messages.hpp"
 #include "protocol/settings.hpp"
 
@@ -44,6 +44,6 @@
   double service_reserve = 0.1;
 };
 
-FleetPlan plan_fleet(const bookkeeping::Model& model, const FleetContext& context);
+FleetPlan plan_fleet(const cluster::Model& model, const FleetContext& context);
 
 }  // namespace poppystile::planning
--- a/src/planning/eligibility.cpp
+++ b/src/planning/eligibility.cpp
@@ -6,7 +6,7 @@
 
 namespace poppystile::planning {
 
-using bookkeeping::Machine;
+using cluster::Machine;
 using protocol::JobSpec;
 
 bool may_run_on(const JobSpec& job, const Machine& machine) {
--- a/src/planning/eligibility.hpp
+++ b/src/planning/eligibility.hpp
@@ -6,16 +6,16 @@
 #include <optional>
 #include <vector>
 
-#include "bookkeeping/model.hpp"
+#include "cluster/cluster_state.hpp"
 #include "protocol/settings.hpp"
 
 namespace poppystile::planning {
 
 /// Whether the job's constraints on type, zone and spot machines allow `machine`.
-bool may_run_on(const protocol::JobSpec& job, const bookkeeping::Machine& machine);
+bool may_run_on(const protocol::JobSpec& job, const cluster::Machine& machine);
 
 /// Whether new tasks may be placed on `machine` at the steady time `now_s`.
-bool takes_tasks(const bookkeeping::Machine& machine, double now_s);
+bool takes_tasks(const cluster::Machine& machine, double now_s);
 
 /// Seconds that a task of the job is believed to run; never zero.
 double believed_run_s(const protocol::JobSpec& job);
--- a/src/planning/gang_placement.cpp
+++ b/src/planning/gang_placement.cpp
@@ -7,7 +7,7 @@
 
 namespace poppystile::planning {
 
-using bookkeeping::Job;
+using cluster::Job;
 using protocol::JobSpec;
 
 namespace {
--- a/src/planning/gang_placement.hpp
+++ b/src/planning/gang_placement.hpp
@@ -24,7 +24,7 @@
 
   /// Places every task of the gang that waits: all of them, or the replacements of an attempt that
   /// has not begun. Where there is no room for the whole, room that frees itself is kept for it.
-  void place(const bookkeeping::Job& job);
+  void place(const cluster::Job& job);
 
  private:
   struct Share {
@@ -37,16 +37,16 @@
     double fetch_s = 0;  // until the last image is there
   };
 
-  bool place_whole(const bookkeeping::Job& job);
+  bool place_whole(const cluster::Job& job);
   /// With `one_zone` only machines in `zone` count; an empty name stands for all.
-  std::optional<Assignment> assign(const bookkeeping::Job& job, const std::string& zone);
-  std::vector<MachineSlot*> candidates(const bookkeeping::Job& job, const std::string& zone);
+  std::optional<Assignment> assign(const cluster::Job& job, const std::string& zone);
+  std::vector<MachineSlot*> candidates(const cluster::Job& job, const std::string& zone);
   /// The zones to be tried one at a time; a single empty name where the tasks may be anywhere.
   std::vector<std::string> zones_for(const protocol::JobSpec& job) const;
   /// Keeps the free room of the most promising zone from other work in this plan. Bounded in time,
   /// so that single tasks have their turn.
-  void hold_room(const bookkeeping::Job& job);
-  bool may_hold(const bookkeeping::Job& job) const;
+  void hold_room(const cluster::Job& job);
+  bool may_hold(const cluster::Job& job) const;
 
   PlanDraft& draft_;
   const JobOrder& order_;
--- a/src/planning/job_order.cpp
+++ b/src/planning/job_order.cpp
@@ -7,9 +7,9 @@
 
 namespace poppystile::planning {
 
-using bookkeeping::Job;
+using cluster::Job;
 
-JobOrder::JobOrder(const bookkeeping::Model& model, const PlanningContext& context)
+JobOrder::JobOrder(const cluster::Model& model, const PlanningContext& context)
     : model_(model), context_(context) {
   find_guaranteed();
 }
--- a/src/planning/job_order.hpp
+++ b/src/planning/job_order.hpp
@@ -17,33 +17,33 @@
 
 class JobOrder {
  public:
-  JobOrder(const bookkeeping::Model& model, const PlanningContext& context);
+  JobOrder(const cluster::Model& model, const PlanningContext& context);
 
   /// Computes the key of an array; without it jobs compare by age.
-  void add_array(const bookkeeping::Job& job);
+  void add_array(const cluster::Job& job);
 
   /// Strict weak order: priority, then guaranteed work, then scheduling keys, then age.
-  bool before(const bookkeeping::Job* a, const bookkeeping::Job* b) const;
+  bool before(const cluster::Job* a, const cluster::Job* b) const;
   /// By time of acceptance; ids break ties, so that equal states give equal plans.
-  static bool accepted_before(const bookkeeping::Job* a, const bookkeeping::Job* b);
+  static bool accepted_before(const cluster::Job* a, const cluster::Job* b);
 
   /// Whether the job fits into its team's guarantee together with the team's earlier unfinished
   /// jobs.
-  bool is_guaranteed(const bookkeeping::Job& job) const { return guaranteed_.contains(&job); }
+  bool is_guaranteed(const cluster::Job& job) const { return guaranteed_.contains(&job); }
   /// Whether an array has waited so long that its first tasks go before everything else.
-  bool is_starved(const bookkeeping::Job& job) const;
+  bool is_starved(const cluster::Job& job) const;
   /// Whether an array has waited so long that its first task takes any free room.
-  bool must_begin(const bookkeeping::Job& job) const;
+  bool must_begin(const cluster::Job& job) const;
 
  private:
   void find_guaranteed();
-  SchedulingKey key_of(const bookkeeping::Job& job) const;
-  bool has_waited(const bookkeeping::Job& job, double seconds) const;
+  SchedulingKey key_of(const cluster::Job& job) const;
+  bool has_waited(const cluster::Job& job, double seconds) const;
 
-  const bookkeeping::Model& model_;
+  const cluster::Model& model_;
   const PlanningContext& context_;
-  std::set<const bookkeeping::Job*> guaranteed_;
-  std::map<const bookkeeping::Job*, SchedulingKey> keys_;
+  std::set<const cluster::Job*> guaranteed_;
+  std::map<const cluster::Job*, SchedulingKey> keys_;
 };
 
 }  // namespace poppystile::planning
--- a/src/planning/plan_draft.cpp
+++ b/src/planning/plan_draft.cpp
@@ -7,10 +7,10 @@
 
 namespace poppystile::planning {
 
-using bookkeeping::Job;
-using bookkeeping::Machine;
-using bookkeeping::Placement;
-using bookkeeping::PlacementPhase;
+using cluster::Job;
+using cluster::Machine;
+using cluster::Placement;
+using cluster::PlacementPhase;
 using protocol::JobKind;
 using protocol::JobSpec;
 using protocol::Resources;
@@ -19,7 +19,7 @@
   return std::find(fetching.begin(), fetching.end(), image) != fetching.end();
 }
 
-PlanDraft::PlanDraft(const bookkeeping::Model& model, const PlanningContext& context)
+PlanDraft::PlanDraft(const cluster::Model& model, const PlanningContext& context)
     : model_(model), context_(context) {
   for (const auto& team : *context.teams) {
     limits_[team.name] = {std::llround(team.cpus_max * 1000), std::llround(team.gpus_max * 1000),
--- a/src/planning/plan_draft.hpp
+++ b/src/planning/plan_draft.hpp
@@ -14,7 +14,7 @@
 
 /// A machine that takes tasks, as the plan changes it.
 struct MachineSlot {
-  const bookkeeping::Machine* machine = nullptr;
+  const cluster::Machine* machine = nullptr;
   protocol::Resources room;
   protocol::Resources for_arrays;       // its size less what services hold
   protocol::Resources stopping;         // held by tasks that were told to stop
@@ -31,7 +31,7 @@
 
 class PlanDraft {
  public:
-  PlanDraft(const bookkeeping::Model& model, const PlanningContext& context);
+  PlanDraft(const cluster::Model& model, const PlanningContext& context);
 
   /// Makes a slot of every machine that takes tasks. Called once, before anything is placed.
   void add_slots();
@@ -41,7 +41,7 @@
   std::vector<MachineSlot>& booting() { return booting_; }
   std::vector<MachineSlot>& slots() { return slots_; }
   const std::vector<MachineSlot>& slots() const { return slots_; }
-  const bookkeeping::Model& model() const { return model_; }
+  const cluster::Model& model() const { return model_; }
   const PlanningContext& context() const { return context_; }
 
   /// How many more tasks of the job its team's limit allows.
@@ -59,11 +59,11 @@
   /// Counts so many tasks of the job as used by its team, so that others leave them room.
   void hold_team_use(const protocol::JobSpec& job, std::uint32_t count);
   /// Whether all machines of a gang take commands, so that its tasks can be stopped together.
-  bool can_stop_together(const bookkeeping::Job& gang) const;
+  bool can_stop_together(const cluster::Job& gang) const;
   /// Records that all tasks of a gang are to be stopped.
-  void stop_gang(const bookkeeping::Job& gang);
+  void stop_gang(const cluster::Job& gang);
   /// Records that a placement is to be stopped; its room counts as on its way.
-  void stop(MachineSlot& slot, const bookkeeping::Placement& placement);
+  void stop(MachineSlot& slot, const cluster::Placement& placement);
   /// Of the class's replicas, the share that is in the zone.
   double class_share(const std::string& job_class, const std::string& zone) const;
   /// Placements decided so far, by job.
@@ -77,13 +77,13 @@
   Plan take() { return std::move(plan_); }
 
  private:
-  MachineSlot slot_of(const bookkeeping::Machine& machine);
-  void add_booting(const bookkeeping::Machine& machine);
+  MachineSlot slot_of(const cluster::Machine& machine);
+  void add_booting(const cluster::Machine& machine);
   void occupy(MachineSlot& slot, const protocol::JobSpec& job);
-  double remaining_load_s(const MachineSlot& slot, const bookkeeping::Placement& placement) const;
+  double remaining_load_s(const MachineSlot& slot, const cluster::Placement& placement) const;
   std::map<std::string, std::uint32_t>& tasks_by_zone(const protocol::JobSpec& job);
 
-  const bookkeeping::Model& model_;
+  const cluster::Model& model_;
   const PlanningContext& context_;
   std::vector<MachineSlot> slots_;
   std::vector<MachineSlot> booting_;
--- a/src/planning/planner.cpp
+++ b/src/planning/planner.cpp
@@ -14,7 +14,7 @@
 
 namespace poppystile::planning {
 
-using bookkeeping::Job;
+using cluster::Job;
 using protocol::JobKind;
 
 namespace {
@@ -33,14 +33,13 @@
 };
 
 // Whole, or with tasks to be replaced before it has begun.
-bool may_be_placed(const bookkeeping::Model& model, const Job& gang,
-                   const PlanningContext& context) {
+bool may_be_placed(const cluster::Model& model, const Job& gang, const PlanningContext& context) {
   return gang.placements.empty() ||
          model.may_replace_tasks(gang, context.now_s,
                                  constants::gang_replace_share * context.gang_wait_s);
 }
 
-WaitingJobs waiting_jobs(const bookkeeping::Model& model, const JobOrder& order,
+WaitingJobs waiting_jobs(const cluster::Model& model, const JobOrder& order,
                          const PlanningContext& context) {
   WaitingJobs out;
   for (const auto& [id, job] : model.jobs) {
@@ -73,7 +72,7 @@
   return "";
 }
 
-Plan make_plan(const bookkeeping::Model& model, const PlanningContext& context) {
+Plan make_plan(const cluster::Model& model, const PlanningContext& context) {
   JobOrder order(model, context);
   WaitingJobs waiting = waiting_jobs(model, order, context);
   if (waiting.empty()) return {};
--- a/src/planning/planner.hpp
+++ b/src/planning/planner.hpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "bookkeeping/model.hpp"
+#include "cluster/cluster_state.hpp"
 #include "planning/eligibility.hpp"
 #include "planning/labl.hpp"
 #include "protocol/settings.hpp"
@@ -57,6 +57,6 @@
 
 /// Plans all waiting jobs onto the machines that take tasks: services first, then arrays that have
 /// waited long, then the other arrays by priority.
-Plan make_plan(const bookkeeping::Model& model, const PlanningContext& context);
+Plan make_plan(const cluster::Model& model, const PlanningContext& context);
 
 }  // namespace poppystile::planning
--- a/src/planning/preemption.cpp
+++ b/src/planning/preemption.cpp
@@ -6,9 +6,9 @@
 
 namespace poppystile::planning {
 
-using bookkeeping::Job;
-using bookkeeping::Placement;
-using bookkeeping::PlacementPhase;
+using cluster::Job;
+using cluster::Placement;
+using cluster::PlacementPhase;
 using protocol::JobKind;
 using protocol::JobSpec;
 using protocol::Resources;
--- a/src/planning/service_placement.cpp
+++ b/src/planning/service_placement.cpp
@@ -6,8 +6,8 @@
 
 namespace poppystile::planning {
 
-using bookkeeping::Job;
-using bookkeeping::Machine;
+using cluster::Job;
+using cluster::Machine;
 using protocol::JobSpec;
 
 void ServicePlacement::place(const Job& job) {
--- a/src/planning/service_placement.hpp
+++ b/src/planning/service_placement.hpp
@@ -14,13 +14,13 @@
       : draft_(draft), preemption_(preemption) {}
 
   /// Places the waiting replicas of one service, image holders first.
-  void place(const bookkeeping::Job& job);
+  void place(const cluster::Job& job);
 
  private:
   MachineSlot* best_of(std::vector<MachineSlot>& slots, const protocol::JobSpec& job);
   /// Whether the replica is up sooner on a machine that is still booting than in `now`; room is
   /// then set aside for it there.
-  bool better_off_waiting(const bookkeeping::Job& job, const MachineSlot& now);
+  bool better_off_waiting(const cluster::Job& job, const MachineSlot& now);
   /// Seconds until a replica would be up there, adjusted a little: less on machines that have
   /// services already, which keeps others free to be released, and in zones that have fewer
   /// replicas of the class.
--- a/src/bookkeeping/journal.cpp
+++ b/src/storage/journal.cpp
@@ -1,11 +1,11 @@
-#include "bookkeeping/journal.hpp"
+#include "storage/journal.hpp"
 
 #include <algorithm>
 #include <charconv>
 
 #include "constants.hpp"
 
-namespace poppystile::bookkeeping {
+namespace poppystile::storage {
 
 using protocol::as_amount;
 using protocol::as_count;
@@ -312,4 +312,4 @@
   return out;
 }
 
-}  // namespace poppystile::bookkeeping
+}  // namespace poppystile::storage
--- a/src/bookkeeping/journal.hpp
+++ b/src/storage/journal.hpp
@@ -13,9 +13,9 @@
 #include <utility>
 #include <vector>
 
-#include "bookkeeping/records.hpp"
+#include "storage/records.hpp"
 
-namespace poppystile::bookkeeping {
+namespace poppystile::storage {
 
 // Entries, ready to be written. Runs of indices are inclusive.
 Json known_entry(const std::string& machine, const std::string& type, const std::string& zone,
@@ -112,4 +112,4 @@
   std::map<std::pair<std::uint64_t, std::uint64_t>, std::vector<Json>> snapshots_;
 };
 
-}  // namespace poppystile::bookkeeping
+}  // namespace poppystile::storage
--- a/src/bookkeeping/records.cpp
+++ b/src/storage/records.cpp
@@ -1,6 +1,6 @@
-#include "bookkeeping/records.hpp"
+#include "storage/records.hpp"
 
-namespace poppystile::bookkeeping {
+namespace poppystile::storage {
 
 using protocol::DecodeError;
 using protocol::need;
@@ -77,4 +77,4 @@
   return protocol::parse_catalog(value);
 }
 
-}  // namespace poppystile::bookkeeping
+}  // namespace poppystile::storage
--- a/src/bookkeeping/records.hpp
+++ b/src/storage/records.hpp
@@ -12,7 +12,7 @@
 #include "protocol/cloud_messages.hpp"
 #include "protocol/submission.hpp"
 
-namespace poppystile::bookkeeping {
+namespace poppystile::storage {
 
 using protocol::Json;
 
@@ -70,4 +70,4 @@
 protocol::JobState decode_over(const Json& value);
 std::vector<protocol::MachineType> decode_catalog(const Json& value);
 
-}  // namespace poppystile::bookkeeping
+}  // namespace poppystile::storage
--- a/tests/world/cloud.cpp
+++ b/tests/simulation/cloud.cpp
@@ -1,10 +1,10 @@
-#include "world/cloud.hpp"
+#include "simulation/cloud.hpp"
 
 #include <cstdio>
 
-#include "world/state_service.hpp"
+#include "simulation/state_service.hpp"
 
-namespace poppystile::world {
+namespace poppystile::simulation {
 
 using protocol::Json;
 
@@ -133,4 +133,4 @@
   reply({200, Json{{"stiles", list}, {"more", false}}.dump()});
 }
 
-}  // namespace poppystile::world
+}  // namespace poppystile::simulation
--- a/tests/world/cloud.hpp
+++ b/tests/simulation/cloud.hpp
@@ -9,10 +9,10 @@
 #include <vector>
 
 #include "protocol/cloud_messages.hpp"
+#include "simulation/event_queue.hpp"
 #include "transport/http.hpp"
-#include "world/event_queue.hpp"
 
-namespace poppystile::world {
+namespace poppystile::simulation {
 
 struct Rented {
   std::string id;
@@ -62,4 +62,4 @@
   int made_ = 0;
 };
 
-}  // namespace poppystile::world
+}  // namespace poppystile::simulation
--- a/tests/world/event_queue.cpp
+++ b/tests/simulation/event_queue.cpp
@@ -1,8 +1,8 @@
-#include "world/event_queue.hpp"
+#include "simulation/event_queue.hpp"
 
 #include <algorithm>
 
-namespace poppystile::world {
+namespace poppystile::simulation {
 
 void EventQueue::at(double time, std::function<void()> action) {
   events_.push({std::max(time, now_), order_++, std::move(action)});
@@ -18,4 +18,4 @@
   now_ = end;
 }
 
-}  // namespace poppystile::world
+}  // namespace poppystile::simulation
--- a/tests/world/event_queue.hpp
+++ b/tests/simulation/event_queue.hpp
@@ -6,7 +6,7 @@
 #include <random>
 #include <vector>
 
-namespace poppystile::world {
+namespace poppystile::simulation {
 
 class EventQueue {
  public:
@@ -36,4 +36,4 @@
   std::uint64_t order_ = 0;
 };
 
-}  // namespace poppystile::world
+}  // namespace poppystile::simulation
--- a/tests/world/lone_caller.hpp
+++ b/tests/simulation/fake_http_caller.hpp
@@ -6,12 +6,12 @@
 #include <string>
 #include <utility>
 
+#include "simulation/event_queue.hpp"
+#include "simulation/state_service.hpp"
 #include "transport/event_loop.hpp"
 #include "transport/http.hpp"
-#include "world/event_queue.hpp"
-#include "world/state_service.hpp"
 
-namespace poppystile::world {
+namespace poppystile::simulation {
 
 // A record as some other node would have written it.
 inline void write_record(StateService& service, const std::string& key,
@@ -71,4 +71,4 @@
   std::shared_ptr<int> alive_ = std::make_shared<int>(0);
 };
 
-}  // namespace poppystile::world
+}  // namespace poppystile::simulation
--- a/tests/world/gangs.cpp
+++ b/tests/simulation/gangs.cpp
@@ -1,9 +1,9 @@
-#include "world/gangs.hpp"
+#include "simulation/gangs.hpp"
 
 #include <algorithm>
 #include <cmath>
 
-namespace poppystile::world {
+namespace poppystile::simulation {
 
 namespace {
 constexpr double watch_every_s = 0.5;  // how often the tasks of a gang look at one another
@@ -136,4 +136,4 @@
   return found->second;
 }
 
-}  // namespace poppystile::world
+}  // namespace poppystile::simulation
--- a/tests/world/gangs.hpp
+++ b/tests/simulation/gangs.hpp
@@ -8,10 +8,10 @@
 #include <string>
 #include <utility>
 
-#include "world/event_queue.hpp"
-#include "world/rules.hpp"
+#include "simulation/event_queue.hpp"
+#include "simulation/invariant_checker.hpp"
 
-namespace poppystile::world {
+namespace poppystile::simulation {
 
 /// The machine that a gang's task is on.
 class GangHost {
@@ -80,4 +80,4 @@
   std::uint64_t begun_ = 0, saves_ = 0, failures_ = 0, incomplete_ = 0;
 };
 
-}  // namespace poppystile::world
+}  // namespace poppystile::simulation
--- a/tests/world/rules.cpp
+++ b/tests/simulation/invariant_checker.cpp
@@ -1,8 +1,8 @@
-#include "world/rules.hpp"
+#include "simulation/invariant_checker.hpp"
 
 #include <algorithm>
 
-namespace poppystile::world {
+namespace poppystile::simulation {
 
 namespace {
 constexpr double sweep_slack_s = 0.5;  // seconds; the sweep runs every half second
@@ -179,4 +179,4 @@
   }));
 }
 
-}  // namespace poppystile::world
+}  // namespace poppystile::simulation
--- a/tests/world/rules.hpp
+++ b/tests/simulation/invariant_checker.hpp
@@ -8,9 +8,9 @@
 #include <vector>
 
 #include "protocol/submission.hpp"
-#include "world/event_queue.hpp"
+#include "simulation/event_queue.hpp"
 
-namespace poppystile::world {
+namespace poppystile::simulation {
 
 struct Place {
   std::string machine;
@@ -103,4 +103,4 @@
   std::uint64_t mistaken_starts_ = 0;
 };
 
-}  // namespace poppystile::world
+}  // namespace poppystile::simulation
--- a/tests/world/run_scenario.cpp
+++ b/tests/simulation/run_scenario.cpp
@@ -7,7 +7,7 @@
 #include <cstdlib>
 #include <iostream>
 
-#include "world/scenario.hpp"
+#include "simulation/scenario.hpp"
 
 namespace {
 
@@ -17,7 +17,7 @@
   bool passed = true;
   int seeds = 1;
   for (int turn = 0; turn < seeds; ++turn) {
-    poppystile::world::Scenario scenario(path, turn);
+    poppystile::simulation::Scenario scenario(path, turn);
     seeds = scenario.seeds();
     passed = scenario.play() && passed;
   }
--- a/tests/world/scenario.cpp
+++ b/tests/simulation/scenario.cpp
@@ -1,11 +1,11 @@
-#include "world/scenario.hpp"
+#include "simulation/scenario.hpp"
 
 #include <algorithm>
 #include <cstdio>
 #include <iostream>
 #include <stdexcept>
 
-namespace poppystile::world {
+namespace poppystile::simulation {
 
 namespace {
 
@@ -407,4 +407,4 @@
   return good;
 }
 
-}  // namespace poppystile::world
+}  // namespace poppystile::simulation
--- a/tests/world/scenario.hpp
+++ b/tests/simulation/scenario.hpp
@@ -30,10 +30,10 @@
 #include <string>
 #include <vector>
 
-#include "world/scenario_file.hpp"
-#include "world/world.hpp"
+#include "simulation/scenario_file.hpp"
+#include "simulation/simulation.hpp"
 
-namespace poppystile::world {
+namespace poppystile::simulation {
 
 class Scenario {
  public:
@@ -74,4 +74,4 @@
   int jobs_ = 0;
 };
 
-}  // namespace poppystile::world
+}  // namespace poppystile::simulation
--- a/tests/world/scenario_file.cpp
+++ b/tests/simulation/scenario_file.cpp
@@ -1,10 +1,10 @@
-#include "world/scenario_file.hpp"
+#include "simulation/scenario_file.hpp"
 
 #include <fstream>
 #include <sstream>
 #include <stdexcept>
 
-namespace poppystile::world {
+namespace poppystile::simulation {
 
 std::string Statement::text(const std::string& key, const std::string& otherwise) const {
   const auto it = values.find(key);
@@ -49,4 +49,4 @@
   return out;
 }
 
-}  // namespace poppystile::world
+}  // namespace poppystile::simulation
--- a/tests/world/scenario_file.hpp
+++ b/tests/simulation/scenario_file.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-namespace poppystile::world {
+namespace poppystile::simulation {
 
 /// One statement of a scenario file.
 struct Statement {
@@ -26,4 +26,4 @@
 
 std::vector<std::string> split(const std::string& text, char at);
 
-}  // namespace poppystile::world
+}  // namespace poppystile::simulation
--- a/tests/world/world.cpp
+++ b/tests/simulation/simulation.cpp
@@ -1,8 +1,8 @@
-#include "world/world.hpp"
+#include "simulation/simulation.hpp"
 
 #include <algorithm>
 
-namespace poppystile::world {
+namespace poppystile::simulation {
 
 using transport::Endpoint;
 using transport::HttpRequest;
@@ -646,4 +646,4 @@
   queue_.after(closely ? 0.001 : 0.5, [this] { sweep(); });
 }
 
-}  // namespace poppystile::world
+}  // namespace poppystile::simulation
--- a/tests/world/world.hpp
+++ b/tests/simulation/simulation.hpp
@@ -8,15 +8,15 @@
 #include <string>
 #include <vector>
 
-#include "coordination/node.hpp"
-#include "world/cloud.hpp"
-#include "world/event_queue.hpp"
-#include "world/gangs.hpp"
-#include "world/rules.hpp"
-#include "world/state_service.hpp"
-#include "world/worker.hpp"
+#include "coordination/controller.hpp"
+#include "simulation/cloud.hpp"
+#include "simulation/event_queue.hpp"
+#include "simulation/gangs.hpp"
+#include "simulation/invariant_checker.hpp"
+#include "simulation/state_service.hpp"
+#include "simulation/worker.hpp"
 
-namespace poppystile::world {
+namespace poppystile::simulation {
 
 struct WorldSettings {
   int nodes = 3;
@@ -170,4 +170,4 @@
   std::uint64_t unheard_starts_ = 0;
 };
 
-}  // namespace poppystile::world
+}  // namespace poppystile::simulation
--- a/tests/world/state_service.cpp
+++ b/tests/simulation/state_service.cpp
@@ -1,9 +1,9 @@
-#include "world/state_service.hpp"
+#include "simulation/state_service.hpp"
 
 #include <algorithm>
 #include <sstream>
 
-namespace poppystile::world {
+namespace poppystile::simulation {
 
 using transport::HttpRequest;
 
@@ -224,4 +224,4 @@
   wake();
 }
 
-}  // namespace poppystile::world
+}  // namespace poppystile::simulation
--- a/tests/world/state_service.hpp
+++ b/tests/simulation/state_service.hpp
@@ -10,10 +10,10 @@
 #include <vector>
 
 #include "protocol/json.hpp"
+#include "simulation/event_queue.hpp"
 #include "transport/http.hpp"
-#include "world/event_queue.hpp"
 
-namespace poppystile::world {
+namespace poppystile::simulation {
 
 class StateService {
  public:
@@ -86,4 +86,4 @@
 // "path?a=1&b=2"
 std::map<std::string, std::string> query_of(const std::string& target);
 
-}  // namespace poppystile::world
+}  // namespace poppystile::simulation
--- a/tests/world/worker.cpp
+++ b/tests/simulation/worker.cpp
@@ -1,10 +1,10 @@
-#include "world/worker.hpp"
+#include "simulation/worker.hpp"
 
 #include <algorithm>
 
 #include "protocol/worker_messages.hpp"
 
-namespace poppystile::world {
+namespace poppystile::simulation {
 
 using transport::HttpResponse;
 
@@ -292,4 +292,4 @@
   changed();
 }
 
-}  // namespace poppystile::world
+}  // namespace poppystile::simulation
--- a/tests/world/worker.hpp
+++ b/tests/simulation/worker.hpp
@@ -8,12 +8,12 @@
 
 #include "protocol/cloud_messages.hpp"
 #include "protocol/json.hpp"
+#include "simulation/event_queue.hpp"
+#include "simulation/gangs.hpp"
+#include "simulation/invariant_checker.hpp"
 #include "transport/http.hpp"
-#include "world/event_queue.hpp"
-#include "world/gangs.hpp"
-#include "world/rules.hpp"
 
-namespace poppystile::world {
+namespace poppystile::simulation {
 
 struct WorkerTimes {
   double report_s = 1;
@@ -111,4 +111,4 @@
   std::map<std::string, double> images_;  // when they are, or will be, there
 };
 
-}  // namespace poppystile::world
+}  // namespace poppystile::simulation
--- a/tests/unit/fleet_test.cpp
+++ b/tests/unit/autoscaler_test.cpp
@@ -1,5 +1,5 @@
 // Sizing of the fleet: what is rented, drained and released.
-#include "planning/fleet.hpp"
+#include "planning/autoscaler/autoscaler.hpp"
 
 #include <gtest/gtest.h>
 
--- a/tests/unit/codec_test.cpp
+++ b/tests/unit/codec_test.cpp
@@ -4,14 +4,14 @@
 #include <functional>
 #include <random>
 
-#include "bookkeeping/journal.hpp"
-#include "bookkeeping/records.hpp"
 #include "protocol/cloud_messages.hpp"
 #include "protocol/peer_messages.hpp"
 #include "protocol/settings.hpp"
 #include "protocol/state_messages.hpp"
 #include "protocol/submission.hpp"
 #include "protocol/worker_messages.hpp"
+#include "storage/journal.hpp"
+#include "storage/records.hpp"
 
 namespace poppystile {
 namespace {
@@ -169,25 +169,25 @@
 }
 
 TEST(Records, JobRoundTripAndUnknownVersion) {
-  const bookkeeping::JobRecord record{
-      protocol::parse_submission(protocol::parse_object(submission)), 1.7e9, true};
-  Json value = bookkeeping::encode(record);
-  EXPECT_TRUE(bookkeeping::decode_job(value).cancelled);
+  const storage::JobRecord record{protocol::parse_submission(protocol::parse_object(submission)),
+                                  1.7e9, true};
+  Json value = storage::encode(record);
+  EXPECT_TRUE(storage::decode_job(value).cancelled);
   value["v"] = 99;
-  EXPECT_THROW(bookkeeping::decode_job(value), DecodeError);
+  EXPECT_THROW(storage::decode_job(value), DecodeError);
 }
 
 // A record stored under a higher limit must be replaceable under a lower one, or its job could not
 // be cancelled any more.
 TEST(Records, ACancelledJobsRecordFitsALowerLimit) {
-  bookkeeping::JobRecord record{protocol::parse_submission(protocol::parse_object(submission)),
-                                1.7e9, false};
+  storage::JobRecord record{protocol::parse_submission(protocol::parse_object(submission)), 1.7e9,
+                            false};
   record.spec.types.emplace(100, std::string(30, 't'));
-  ASSERT_GT(bookkeeping::encode(record).dump().size(), 2048u);
-  const Json small = bookkeeping::encode_cancelled(record, 1843);
+  ASSERT_GT(storage::encode(record).dump().size(), 2048u);
+  const Json small = storage::encode_cancelled(record, 1843);
   EXPECT_LE(small.dump().size(), 1843u);
-  EXPECT_TRUE(bookkeeping::decode_job(small).cancelled);
-  EXPECT_TRUE(bookkeeping::decode_job(bookkeeping::encode_cancelled(record, 7372)).spec.types);
+  EXPECT_TRUE(storage::decode_job(small).cancelled);
+  EXPECT_TRUE(storage::decode_job(storage::encode_cancelled(record, 7372)).spec.types);
 }
 
 protocol::PeerStatus peer_status() {
@@ -241,9 +241,9 @@
   const std::string machine_list =
       R"({"stiles":[{"id":"n-1","build":"g8","yard":"a","loaners":true,"stage":"running","held_s":6}],"more":false})";
   const std::string segment =
-      bookkeeping::encode_part(1, 1,
-                               {bookkeeping::known_entry("n-1", "g", "a", false, 1, 2).dump(),
-                                bookkeeping::placed_entry("req-1", 3, "n-1", 4).dump()});
+      storage::encode_part(1, 1,
+                           {storage::known_entry("n-1", "g", "a", false, 1, 2).dump(),
+                            storage::placed_entry("req-1", 3, "n-1", 4).dump()});
   const std::pair<std::string, std::function<void(const std::string&)>> targets[] = {
       {submission, [](auto& s) { protocol::parse_submission(protocol::parse_object(s)); }},
       {report, [](auto& s) { protocol::parse_report(s); }},
@@ -255,8 +255,8 @@
        [](auto& s) { protocol::parse_watch(s); }},
       {segment,
        [](auto& s) {
-         bookkeeping::JournalReader reader;
-         reader.add(bookkeeping::segment_key(1), protocol::parse_object(s));
+         storage::JournalReader reader;
+         reader.add(storage::segment_key(1), protocol::parse_object(s));
          reader.replay();
        }},
       {frame, [](auto& s) { protocol::decode_peer_status(s); }}};
--- a/tests/unit/node_test.cpp
+++ b/tests/unit/controller_test.cpp
@@ -1,15 +1,15 @@
 // What lets a leader keep leases alive in an outage: each premise of docs/design.md, frame by
 // frame.
-#include "coordination/node.hpp"
+#include "coordination/controller.hpp"
 
 #include <gtest/gtest.h>
 
 #include <algorithm>
 
 #include "constants.hpp"
-#include "world/event_queue.hpp"
-#include "world/lone_caller.hpp"
-#include "world/state_service.hpp"
+#include "simulation/event_queue.hpp"
+#include "simulation/fake_http_caller.hpp"
+#include "simulation/state_service.hpp"
 
 namespace poppystile::coordination {
 namespace {
@@ -91,9 +91,9 @@
     return got.status == 200;
   }
 
-  world::EventQueue queue{3};
-  world::StateService service{queue, 250, 40, 32};
-  world::LoneCaller caller{queue, service, 0};
+  simulation::EventQueue queue{3};
+  simulation::StateService service{queue, 250, 40, 32};
+  simulation::LoneCaller caller{queue, service, 0};
   NoPeers peers;
   protocol::Settings settings = made_settings();
   protocol::Properties properties;
--- a/tests/unit/gang_test.cpp
+++ b/tests/unit/gang_test.cpp
@@ -5,18 +5,18 @@
 #include <algorithm>
 #include <set>
 
-#include "bookkeeping/attempt_numbers.hpp"
-#include "coordination/gang_tracker.hpp"
+#include "cluster/attempt_numbers.hpp"
+#include "coordination/leader/gang_tracker.hpp"
 #include "planning/planner.hpp"
 #include "unit/planning_samples.hpp"
 
 namespace poppystile {
 namespace {
 
-using bookkeeping::GangAttempt;
-using bookkeeping::Job;
-using bookkeeping::Machine;
-using bookkeeping::Model;
+using cluster::GangAttempt;
+using cluster::Job;
+using cluster::Machine;
+using cluster::Model;
 using coordination::GangTracker;
 using planning::add;
 using planning::spec;
@@ -24,11 +24,11 @@
 using protocol::Priority;
 
 TEST(AttemptNumbers, EndBeforeThoseOfTheNextToken) {
-  bookkeeping::AttemptNumbers numbers(41, (1 << 24) - 3);
+  cluster::AttemptNumbers numbers(41, (1 << 24) - 3);
   EXPECT_EQ(numbers.next(), (std::uint64_t{42} << 24) - 2);
   EXPECT_EQ(numbers.next(), (std::uint64_t{42} << 24) - 1);
   EXPECT_EQ(numbers.next(), std::nullopt);
-  EXPECT_EQ(bookkeeping::AttemptNumbers(42).next(), (std::uint64_t{42} << 24) + 1);
+  EXPECT_EQ(cluster::AttemptNumbers(42).next(), (std::uint64_t{42} << 24) + 1);
 }
 
 class GangTest : public testing::Test {
--- a/tests/unit/job_api_test.cpp
+++ b/tests/unit/job_api_test.cpp
@@ -1,9 +1,9 @@
 // What users are answered: each reason for a refusal, at once and with nothing stored; repeats.
-#include "coordination/job_api.hpp"
+#include "coordination/api/job_api.hpp"
 
 #include <gtest/gtest.h>
 
-#include "unit/directory_fixture.hpp"
+#include "unit/shared_state_fixture.hpp"
 
 namespace poppystile::coordination {
 namespace {
@@ -22,7 +22,7 @@
     const std::vector<protocol::MachineType> types = {
         {"g8", {32000, 8000, 64000}, 50, 1, 1.0, 0.3, 20, {"a", "b"}},
         {"c4", {16000, 0, 32000}, 50, 1, 1.0, 0.3, 20, {"a"}}};
-    world::write_record(service, bookkeeping::keys::catalog, bookkeeping::encode_catalog(types));
+    simulation::write_record(service, storage::keys::catalog, storage::encode_catalog(types));
     load_directory();
   }
 
@@ -89,7 +89,7 @@
       EXPECT_EQ(took_s, 0) << each.what;
       EXPECT_TRUE(Json::parse(got.body).at("error").is_string()) << each.what;
     }
-    EXPECT_FALSE(service.has(bookkeeping::job_key("req-000412"))) << each.what;
+    EXPECT_FALSE(service.has(storage::job_key("req-000412"))) << each.what;
   }
 }
 
@@ -123,7 +123,7 @@
 TEST_F(JobApiTest, WhatCannotBeStoredUnderTheLimitIsRefusedAtOnce) {
   settings.state_limits.value_kb = 0.25;
   EXPECT_EQ(submit(job()).status, 422);
-  EXPECT_FALSE(service.has(bookkeeping::job_key("req-000412")));
+  EXPECT_FALSE(service.has(storage::job_key("req-000412")));
 }
 
 // A comparison that was answered late says nothing about now: another node may have told more.
--- a/tests/unit/journal_test.cpp
+++ b/tests/unit/journal_test.cpp
@@ -1,11 +1,11 @@
 // The journal's entries and what replaying them gives.
-#include "bookkeeping/journal.hpp"
+#include "storage/journal.hpp"
 
 #include <gtest/gtest.h>
 
 #include "constants.hpp"
 
-namespace poppystile::bookkeeping {
+namespace poppystile::storage {
 namespace {
 
 using protocol::DecodeError;
@@ -136,4 +136,4 @@
 }
 
 }  // namespace
-}  // namespace poppystile::bookkeeping
+}  // namespace poppystile::storage
--- a/tests/unit/journal_desk_test.cpp
+++ b/tests/unit/journal_writer_test.cpp
@@ -1,6 +1,6 @@
 // The journal in the stand-in state service: leaders come and go at any moment, and every one of
 // them finds exactly what was durable, and can go on writing.
-#include "coordination/journal_desk.hpp"
+#include "coordination/journal/journal_writer.hpp"
 
 #include <gtest/gtest.h>
 
@@ -11,19 +11,19 @@
 #include <tuple>
 
 #include "constants.hpp"
-#include "world/event_queue.hpp"
-#include "world/lone_caller.hpp"
-#include "world/state_service.hpp"
+#include "simulation/event_queue.hpp"
+#include "simulation/fake_http_caller.hpp"
+#include "simulation/state_service.hpp"
 
 namespace poppystile::coordination {
 namespace {
 
-using bookkeeping::Ledger;
+using storage::Ledger;
 
 // One controller, as long as it lives.
-class Life : public world::LoneCaller {
+class Life : public simulation::LoneCaller {
  public:
-  Life(world::EventQueue& queue, world::StateService& service, const std::string& name,
+  Life(simulation::EventQueue& queue, simulation::StateService& service, const std::string& name,
        double lose_answers)
       : LoneCaller(queue, service, lose_answers) {
     settings.name = name;
@@ -43,17 +43,17 @@
     });
     leadership->on_lost([this] { lost = true; });
     journal->on_snapshot([this] {
-      std::vector<bookkeeping::Json> out;
+      std::vector<storage::Json> out;
       for (const auto& [id, machine] : ledger.machines)
-        out.push_back(bookkeeping::known_entry(id, "g", "a", false, machine.session, 0));
+        out.push_back(storage::known_entry(id, "g", "a", false, machine.session, 0));
       return out;
     });
     directory->start();
     leadership->start();
   }
   // Appends as a leader does, and keeps the ledger that its successor should find.
-  std::uint64_t append(const bookkeeping::Json& entry) {
-    ledger.apply(bookkeeping::Json::parse(entry.dump()));
+  std::uint64_t append(const storage::Json& entry) {
+    ledger.apply(storage::Json::parse(entry.dump()));
     return journal->append(entry);
   }
 
@@ -86,8 +86,8 @@
       queue.run_until(queue.now() + 0.02);
     }
   }
-  world::EventQueue queue{7};
-  world::StateService service{queue, 250, 40, 32};
+  simulation::EventQueue queue{7};
+  simulation::StateService service{queue, 250, 40, 32};
   std::unique_ptr<Life> current;
 };
 
@@ -110,8 +110,8 @@
       const std::string id = "n-" + std::to_string(random() % 40);
       const std::uint64_t session = ++made;
       if (!life.ledger.machines.contains(id))
-        life.append(bookkeeping::known_entry(id, "g", "a", false, 0, 0));
-      marks.emplace_back(life.append(bookkeeping::session_entry(id, session)), id, session);
+        life.append(storage::known_entry(id, "g", "a", false, 0, 0));
+      marks.emplace_back(life.append(storage::session_entry(id, session)), id, session);
     });
     EXPECT_FALSE(life.lost) << "round " << round;
     std::size_t landed = 0;
@@ -130,13 +130,13 @@
 TEST_F(JournalDeskTest, ALateTransactionOfAFormerLeaderChangesNothing) {
   Life& former = begin();
   former.hold_journal_s = 12;
-  former.append(bookkeeping::known_entry("n-1", "g", "a", false, 0, 0));
+  former.append(storage::known_entry("n-1", "g", "a", false, 0, 0));
   former.journal->pump();
   Life& life = begin();
   ASSERT_TRUE(life.loaded);
   EXPECT_FALSE(life.ledger.machines.contains("n-1"));
   run(life, 15, [] {});
-  const auto mark = life.append(bookkeeping::known_entry("n-2", "g", "a", false, 0, 0));
+  const auto mark = life.append(storage::known_entry("n-2", "g", "a", false, 0, 0));
   run(life, 3, [] {});
   EXPECT_FALSE(life.lost);
   EXPECT_TRUE(life.journal->durable(mark));
@@ -153,8 +153,8 @@
   run(life, 200, [&] {
     const std::string id = "n-" + std::to_string(made % 40);
     if (!life.ledger.machines.contains(id))
-      life.append(bookkeeping::known_entry(id, "g", "a", false, 0, 0));
-    const auto mark = life.append(bookkeeping::session_entry(id, ++made));
+      life.append(storage::known_entry(id, "g", "a", false, 0, 0));
+    const auto mark = life.append(storage::session_entry(id, ++made));
     marks.emplace_back(mark, id, made);
     for (; !marks.empty() && life.journal->durable(std::get<0>(marks.front())); marks.pop_front())
       durable[std::get<1>(marks.front())] = std::get<2>(marks.front());
@@ -188,7 +188,7 @@
     for (int i = 0; i < 20; ++i) {
       ++made;
       const std::string id = "n-" + std::to_string(made % 500);
-      life.append(bookkeeping::known_entry(id, "g", "a", false, made, 0));
+      life.append(storage::known_entry(id, "g", "a", false, made, 0));
     }
   });
   const auto changes = static_cast<double>(service.changes() - before);
--- a/tests/unit/leadership_test.cpp
+++ b/tests/unit/leader_election_test.cpp
@@ -1,5 +1,5 @@
 // Elections: of controllers that run at the same moment one wins, and no token is had twice.
-#include "coordination/leadership.hpp"
+#include "coordination/election/leader_election.hpp"
 
 #include <gtest/gtest.h>
 
@@ -8,15 +8,16 @@
 #include <vector>
 
 #include "constants.hpp"
-#include "world/event_queue.hpp"
-#include "world/lone_caller.hpp"
-#include "world/state_service.hpp"
+#include "simulation/event_queue.hpp"
+#include "simulation/fake_http_caller.hpp"
+#include "simulation/state_service.hpp"
 
 namespace poppystile::coordination {
 namespace {
 
-struct Candidate : world::LoneCaller {
-  Candidate(world::EventQueue& queue, world::StateService& service, const std::string& name)
+struct Candidate : simulation::LoneCaller {
+  Candidate(simulation::EventQueue& queue, simulation::StateService& service,
+            const std::string& name)
       : LoneCaller(queue, service, 0),
         store(*this, *this, settings),
         directory(*this, store),
@@ -33,8 +34,8 @@
 TEST(Election, OneOfThoseThatRunAtOnceWins) {
   int contested = 0;
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
-    world::EventQueue queue(seed);
-    world::StateService service(queue, 250, 40, 32);
+    simulation::EventQueue queue(seed);
+    simulation::StateService service(queue, 250, 40, 32);
     std::vector<std::unique_ptr<Candidate>> all;
     std::map<std::uint64_t, Candidate*> winners;
     for (const char* name : {"stile-0", "stile-1", "stile-2"}) {
--- a/tests/unit/planning_samples.hpp
+++ b/tests/unit/planning_samples.hpp
@@ -4,14 +4,14 @@
 #include <string>
 #include <utility>
 
-#include "bookkeeping/model.hpp"
+#include "cluster/cluster_state.hpp"
 
 namespace poppystile::planning {
 
-using bookkeeping::Job;
-using bookkeeping::Machine;
-using bookkeeping::Model;
-using bookkeeping::TaskPhase;
+using cluster::Job;
+using cluster::Machine;
+using cluster::Model;
+using cluster::TaskPhase;
 using protocol::JobKind;
 using protocol::JobSpec;
 using protocol::Priority;
--- a/tests/unit/production_forms_test.cpp
+++ b/tests/unit/production_forms_test.cpp
@@ -6,15 +6,15 @@
 /// were recorded and checked.
 #include <gtest/gtest.h>
 
-#include "bookkeeping/journal.hpp"
-#include "bookkeeping/records.hpp"
 #include "protocol/peer_messages.hpp"
 #include "protocol/submission.hpp"
+#include "storage/journal.hpp"
+#include "storage/records.hpp"
 
 namespace poppystile {
 namespace {
 
-using bookkeeping::Json;
+using storage::Json;
 
 constexpr const char* array_record =
     R"({"at":1700000000.25,"cancelled":false,"job":{"builds":["g8","c4"],"bundle":"img-07",)"
@@ -30,28 +30,26 @@
 
 TEST(ProductionForms, JobRecordsAreReadAndWrittenAlike) {
   for (const char* stored : {array_record, service_record}) {
-    const bookkeeping::JobRecord record = bookkeeping::decode_job(Json::parse(stored));
-    EXPECT_EQ(bookkeeping::encode(record).dump(), stored);
+    const storage::JobRecord record = storage::decode_job(Json::parse(stored));
+    EXPECT_EQ(storage::encode(record).dump(), stored);
   }
-  const auto array = bookkeeping::decode_job(Json::parse(array_record));
+  const auto array = storage::decode_job(Json::parse(array_record));
   EXPECT_EQ(array.spec.kind, protocol::JobKind::array);
   EXPECT_EQ(array.spec.tasks, 16u);
-  EXPECT_EQ(bookkeeping::decode_job(Json::parse(service_record)).spec.kind,
-            protocol::JobKind::service);
+  EXPECT_EQ(storage::decode_job(Json::parse(service_record)).spec.kind, protocol::JobKind::service);
 }
 
 TEST(ProductionForms, SmallRecordsAreWrittenAlike) {
-  EXPECT_EQ(bookkeeping::encode(bookkeeping::LeaderRecord{"stile-1", 41}).dump(),
+  EXPECT_EQ(storage::encode(storage::LeaderRecord{"stile-1", 41}).dump(),
             R"({"name":"stile-1","token":41,"v":1})");
-  EXPECT_EQ(bookkeeping::encode_token(41).dump(), R"({"token":41,"v":1})");
-  EXPECT_EQ(bookkeeping::encode_over(protocol::JobState::done).dump(), R"({"done":true,"v":1})");
-  EXPECT_EQ(bookkeeping::encode_over(protocol::JobState::cancelled).dump(),
-            R"({"done":false,"v":1})");
-  EXPECT_EQ(bookkeeping::job_key("req-7"), "shared/job/req-7");
-  EXPECT_EQ(bookkeeping::over_key("req-7"), "shared/over/req-7");
-  EXPECT_EQ(bookkeeping::keys::leader, "shared/ctl/leader");
-  EXPECT_EQ(bookkeeping::keys::token, "shared/ctl/token");
-  EXPECT_EQ(bookkeeping::keys::catalog, "shared/catalog");
+  EXPECT_EQ(storage::encode_token(41).dump(), R"({"token":41,"v":1})");
+  EXPECT_EQ(storage::encode_over(protocol::JobState::done).dump(), R"({"done":true,"v":1})");
+  EXPECT_EQ(storage::encode_over(protocol::JobState::cancelled).dump(), R"({"done":false,"v":1})");
+  EXPECT_EQ(storage::job_key("req-7"), "shared/job/req-7");
+  EXPECT_EQ(storage::over_key("req-7"), "shared/over/req-7");
+  EXPECT_EQ(storage::keys::leader, "shared/ctl/leader");
+  EXPECT_EQ(storage::keys::token, "shared/ctl/token");
+  EXPECT_EQ(storage::keys::catalog, "shared/catalog");
 }
 
 constexpr const char* segment =
@@ -62,7 +60,7 @@
     R"(["h","h-41-1","g8","a",true,12],["x","h-41-1"],["g","n-000002"]]})";
 
 TEST(ProductionForms, JournalEntriesAreWrittenAlike) {
-  using namespace bookkeeping;
+  using namespace storage;
   const std::vector<Json> entries = {
       known_entry("n-000001", "g8", "a", false, 0, 1700000000.5),
       session_entry("n-000001", 3),
@@ -84,7 +82,7 @@
 }
 
 TEST(ProductionForms, AJournalIsReadWhole) {
-  using namespace bookkeeping;
+  using namespace storage;
   JournalReader reader;
   reader.add(keys::journal_head, Json::parse(R"({"from":8,"gen":3,"parts":1,"v":2})"));
   reader.add("journal/snap/1/0",
--- a/tests/unit/directory_test.cpp
+++ b/tests/unit/shared_state_cache_test.cpp
@@ -1,9 +1,9 @@
 // What a node knows of jobs: cancellations are for good, and proofs are as old as their question.
-#include "coordination/directory.hpp"
+#include "coordination/state/shared_state_cache.hpp"
 
 #include <gtest/gtest.h>
 
-#include "unit/directory_fixture.hpp"
+#include "unit/shared_state_fixture.hpp"
 
 namespace poppystile::coordination {
 namespace {
@@ -14,37 +14,37 @@
  protected:
   void SetUp() override { load_directory(); }
   void write(const std::string& key, const Json& value) {
-    world::write_record(service, key, value);
+    simulation::write_record(service, key, value);
     queue.run_until(queue.now() + 0.2);
   }
   static Json record(const std::string& id) {
-    bookkeeping::JobRecord job;
+    storage::JobRecord job;
     job.spec.id = id;
     job.spec.job_class = job.spec.team = job.spec.image = "x";
     job.spec.tasks = 1;
     job.spec.each = {1000, 0, 1000};
-    return bookkeeping::encode(job);
+    return storage::encode(job);
   }
 };
 
 TEST_F(DirectoryTest, AnOlderRecordDoesNotUndoACancellationThatASiblingTold) {
-  write(bookkeeping::job_key("req-1"), record("req-1"));
+  write(storage::job_key("req-1"), record("req-1"));
   directory.learn_cancelled("req-1");
   EXPECT_TRUE(directory.job("req-1")->record.cancelled);
-  write(bookkeeping::job_key("req-1"), record("req-1"));
+  write(storage::job_key("req-1"), record("req-1"));
   EXPECT_TRUE(directory.job("req-1")->record.cancelled);
 }
 
 TEST_F(DirectoryTest, ACancellationCountsBeforeTheJobIsKnown) {
   directory.learn_cancelled("req-2");
-  write(bookkeeping::job_key("req-2"), record("req-2"));
+  write(storage::job_key("req-2"), record("req-2"));
   EXPECT_TRUE(directory.job("req-2")->record.cancelled);
   EXPECT_TRUE(directory.cancelled().contains("req-2"));
 }
 
 TEST_F(DirectoryTest, WhatIsOverIsNotNamedAnyMore) {
   directory.learn_cancelled("req-3");
-  write(bookkeeping::over_key("req-3"), bookkeeping::encode_over(protocol::JobState::cancelled));
+  write(storage::over_key("req-3"), storage::encode_over(protocol::JobState::cancelled));
   EXPECT_TRUE(directory.cancelled().empty());
   directory.learn_cancelled("req-3");
   EXPECT_TRUE(directory.cancelled().empty());
--- a/tests/unit/directory_fixture.hpp
+++ b/tests/unit/shared_state_fixture.hpp
@@ -3,10 +3,10 @@
 
 #include <gtest/gtest.h>
 
-#include "coordination/directory.hpp"
-#include "world/event_queue.hpp"
-#include "world/lone_caller.hpp"
-#include "world/state_service.hpp"
+#include "coordination/state/shared_state_cache.hpp"
+#include "simulation/event_queue.hpp"
+#include "simulation/fake_http_caller.hpp"
+#include "simulation/state_service.hpp"
 
 namespace poppystile::coordination {
 
@@ -19,9 +19,9 @@
     ASSERT_TRUE(directory.loaded());
   }
 
-  world::EventQueue queue{5};
-  world::StateService service{queue, 250, 40, 32};
-  world::LoneCaller caller{queue, service, 0};
+  simulation::EventQueue queue{5};
+  simulation::StateService service{queue, 250, 40, 32};
+  simulation::LoneCaller caller{queue, service, 0};
   protocol::Settings settings;
   StateStore store{caller, caller, settings};
   Directory directory{caller, store};
