--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -48,13 +48,13 @@
 int serve(const protocol::Settings& settings, const protocol::Properties& properties) {
   transport::EventLoop loop;
   transport::HttpClient client(loop);
-  std::vector<transport::Endpoint> siblings;
-  for (const auto& each : settings.siblings) siblings.push_back(each.address);
-  transport::PeerLink peers(loop, settings.peer_listen, siblings);
-  coordination::Node node(loop, client, peers, settings, properties, std::random_device{}());
+  std::vector<transport::Endpoint> peer_addresses;
+  for (const auto& each : settings.peers) peer_addresses.push_back(each.address);
+  transport::PeerConnections peers(loop, settings.peer_listen, peer_addresses);
+  coordination::Controller node(loop, client, peers, settings, properties, std::random_device{}());
   const auto sockets = static_cast<std::size_t>(settings.sockets * constants::server_socket_share);
   transport::HttpServer server(
-      loop, settings.listen, sockets, coordination::Node::is_vital,
+      loop, settings.listen, sockets, coordination::Controller::is_vital,
       [&](const transport::HttpRequest& request, transport::Respond respond) {
         node.handle(request, std::move(respond));
       });
--- a/src/cluster/cluster_state.cpp
+++ b/src/cluster/cluster_state.cpp
@@ -21,14 +21,15 @@
   return index;
 }
 
-std::uint32_t Job::to_try() const {
+std::uint32_t Job::schedulable_tasks() const {
   if (is_gang()) return gang.is_over() ? 0 : waiting();
   if (retry_pause_s == 0) return waiting();
   const auto out = static_cast<std::uint32_t>(placements.size());
-  return std::min(waiting(), constants::retry_probes - std::min(constants::retry_probes, out));
+  return std::min(waiting(),
+                  constants::max_retrying_tasks - std::min(constants::max_retrying_tasks, out));
 }
 
-void Job::trust() {
+void Job::reset_failures() {
   failed_on.clear();
   retry_pause_s = failed_after_s = 0;
 }
@@ -62,7 +63,7 @@
                      [&](const CachedImage& each) { return each.name == image; });
 }
 
-void Machine::touch_image(const std::string& name, double gb) {
+void Machine::mark_image_used(const std::string& name, double gb) {
   std::erase_if(images, [&](const CachedImage& each) { return each.name == name; });
   images.push_back({name, gb});
   double total = 0;
@@ -79,30 +80,31 @@
   return nullptr;
 }
 
-Job* Model::job(const std::string& id) {
+Job* ClusterState::job(const std::string& id) {
   const auto it = jobs.find(id);
   return it == jobs.end() ? nullptr : &it->second;
 }
 
-void Model::note_gang(const JobRecord& record) {
+void ClusterState::record_recent_gang(const JobRecord& record) {
   RecentGang& recent = recent_gangs[record.spec.job_class];
   if (record.spec.tasks >= recent.largest.tasks) recent.largest = record.spec;
   recent.seen_wall_s = std::max(recent.seen_wall_s, record.accepted_wall_s);
 }
 
-bool Model::may_replace_tasks(const Job& job, double now_s, double max_wait_s) const {
+bool ClusterState::may_replace_tasks(const Job& job, double now_s, double max_wait_s) const {
   if (job.gang.phase != GangAttempt::Phase::assembling) return false;
   if (now_s - job.gang.placed_s > max_wait_s) return false;
-  return std::all_of(job.placements.begin(), job.placements.end(),
-                     [&](const auto& each) { return each.second->heard_s > job.gang.lost_s; });
+  return std::all_of(job.placements.begin(), job.placements.end(), [&](const auto& each) {
+    return each.second->last_heartbeat_s > job.gang.lost_s;
+  });
 }
 
-Placement& Model::place(Machine& machine, Job& job, std::uint64_t attempt, double now_s) {
+Placement& ClusterState::place(Machine& machine, Job& job, std::uint64_t attempt, double now_s) {
   return restore(machine, job, job.take_waiting(machine), attempt, now_s);
 }
 
-Placement& Model::restore(Machine& machine, Job& job, std::uint32_t index, std::uint64_t attempt,
-                          double now_s) {
+Placement& ClusterState::restore(Machine& machine, Job& job, std::uint32_t index,
+                                 std::uint64_t attempt, double now_s) {
   job.phases[index] = TaskPhase::placed;
   job.placements[index] = &machine;
   Placement placement;
@@ -118,7 +120,7 @@
   return machine.placements.back();
 }
 
-void Model::vacate(Machine& machine, Placement& placement) {
+void ClusterState::release_resources(Machine& machine, Placement& placement) {
   if (placement.phase == PlacementPhase::exited) return;
   Job* owner = job(placement.job);
   if (placement.phase == PlacementPhase::running && owner != nullptr) --owner->running;
--- a/src/cluster/cluster_state.hpp
+++ b/src/cluster/cluster_state.hpp
@@ -69,9 +69,9 @@
     return spec().tasks - static_cast<std::uint32_t>(placements.size()) - finished;
   }
   // Of those, how many may be tried: a few when all fail; of a gang all, or those to be replaced.
-  std::uint32_t to_try() const;
+  std::uint32_t schedulable_tasks() const;
   // A task of it has run well.
-  void trust();
+  void reset_failures();
   bool all_finished() const { return finished == spec().tasks; }
   // The next task to be placed; the caller names its machine.
   std::uint32_t take_waiting(Machine& machine);
@@ -94,12 +94,12 @@
   Resources each;
   PlacementPhase phase = PlacementPhase::assigned;
   bool stopping = false;
-  std::uint64_t shown = 0;         // sequence number of the newest report that listed it
-  bool finished = false;           // exited with done
+  std::uint64_t last_reported_sequence = 0;  // sequence number of the newest report that listed it
+  bool finished = false;                     // exited with done
   std::uint64_t log_position = 0;  // the journal is to land this far before a start, or a reap
-  std::uint64_t sent_session = 0, sent_sequence = 0;  // newest report that a start answered
-  int unheard = 0;     // starts sent that the next report did not show
-  double since_s = 0;  // steady; of the phase
+  std::uint64_t start_incarnation = 0, start_sequence = 0;  // newest report that a start answered
+  int unacknowledged_starts = 0;  // starts sent that the next report did not show
+  double since_s = 0;             // steady; of the phase
 };
 
 struct Machine {
@@ -114,25 +114,25 @@
   double boot_s = 0;  // usual for its type
   std::vector<Placement> placements;
   std::vector<CachedImage> images;  // least recently used first
-  std::uint64_t session = 0, sequence = 0;
-  bool heard = false;      // reported to this leader
-  bool confirmed = false;  // its worker has seen this leader's token
+  std::uint64_t incarnation = 0, sequence = 0;
+  bool has_reported = false;            // reported to this leader
+  bool has_acknowledged_token = false;  // its worker has seen this leader's token
   bool releasing = false;
   bool draining = false;  // takes nothing new, and is given back once it is empty
-  bool recalled = false;
+  bool preemption_noticed = false;
   bool quarantined = false;
-  bool late = false;         // reports are overdue
-  bool lost = false;         // silent for longer than its lease
-  bool suspect = false;      // it reports, but our answers seem not to arrive
-  int failures = 0;          // in a row
-  int unheard_sessions = 0;  // in a row, that ended without showing a start that was sent
+  bool is_overdue = false;             // reports are overdue
+  bool lease_expired = false;          // silent for longer than its lease
+  bool is_unresponsive = false;        // it reports, but our answers seem not to arrive
+  int failures = 0;                    // in a row
+  int incarnations_without_start = 0;  // in a row, that ended without showing a start that was sent
   std::set<std::string> failed_jobs;
-  double avoid_until_s = 0;  // steady
-  double suspect_s = 0;      // steady; since when
-  double session_s = 0;      // steady; of the session's first report
-  double heard_s = 0;        // steady; of the newest report
-  double last_answer_s = 0;  // steady
-  bool answered = false;     // by this leader, ever
+  double avoid_until_s = 0;          // steady
+  double unresponsive_since_s = 0;   // steady; since when
+  double incarnation_started_s = 0;  // steady; of the session's first report
+  double last_heartbeat_s = 0;       // steady; of the newest report
+  double last_response_s = 0;        // steady
+  bool has_been_answered = false;    // by this leader, ever
   double rented_wall_s = 0;
 
   Resources room() const {
@@ -142,7 +142,7 @@
   }
   bool holds(const std::string& image) const;
   // Marks an image as just used; the least recently used ones leave when the cache is full.
-  void touch_image(const std::string& name, double gb);
+  void mark_image_used(const std::string& name, double gb);
   Placement* find(const std::string& job, std::uint32_t index, std::uint64_t attempt);
 };
 
@@ -153,18 +153,18 @@
 };
 
 // What one team's tasks may be using.
-struct TeamUse {
+struct TeamUsage {
   Resources used;
 };
 
-struct Model {
+struct ClusterState {
   std::unordered_map<std::string, Job> jobs;
   std::map<std::string, Machine> machines;
-  std::map<std::string, TeamUse> teams;
+  std::map<std::string, TeamUsage> teams;
   std::map<std::string, RecentGang> recent_gangs;  // by class
 
   Job* job(const std::string& id);
-  void note_gang(const JobRecord& record);
+  void record_recent_gang(const JobRecord& record);
   // Whether a gang that lost tasks before it began may have them replaced: every task that is left
   // has been reported since, and none of them runs.
   bool may_replace_tasks(const Job& job, double now_s, double max_wait_s) const;
@@ -173,7 +173,7 @@
   Placement& restore(Machine& machine, Job& job, std::uint32_t index, std::uint64_t attempt,
                      double now_s);
   // The placement no longer takes room.
-  void vacate(Machine& machine, Placement& placement);
+  void release_resources(Machine& machine, Placement& placement);
 };
 
 }  // namespace poppystile::cluster
--- a/src/cluster/snapshot.cpp
+++ b/src/cluster/snapshot.cpp
@@ -4,12 +4,12 @@
 
 namespace poppystile::cluster {
 
-using storage::finished_bits_entry;
-using storage::hire_entry;
-using storage::image_entry;
-using storage::known_entry;
+using storage::finished_bitmap_entry;
+using storage::image_cached_entry;
+using storage::machine_registered_entry;
 using storage::merge_entries;
-using storage::placed_entry;
+using storage::rental_requested_entry;
+using storage::task_placed_entry;
 
 namespace {
 
@@ -28,12 +28,12 @@
 };
 
 void add_machine(EntryList& out, const Machine& machine) {
-  out.add(known_entry(machine.id, machine.type, machine.zone, machine.spot, machine.session,
-                      machine.rented_wall_s));
-  for (const auto& image : machine.images) out.add(image_entry(machine.id, image));
+  out.add(machine_registered_entry(machine.id, machine.type, machine.zone, machine.spot,
+                                   machine.incarnation, machine.rented_wall_s));
+  for (const auto& image : machine.images) out.add(image_cached_entry(machine.id, image));
   for (const auto& each : machine.placements)
     if (each.phase != PlacementPhase::exited)
-      out.add(placed_entry(each.job, each.attempt, machine.id, each.index));
+      out.add(task_placed_entry(each.job, each.attempt, machine.id, each.index));
 }
 
 void add_finished(EntryList& out, const Job& job, std::size_t max_tasks) {
@@ -42,19 +42,19 @@
     std::vector<bool> bits(std::min(job.phases.size() - first, max_tasks));
     for (std::size_t i = 0; i < bits.size(); ++i)
       bits[i] = job.phases[first + i] == TaskPhase::finished;
-    out.add(finished_bits_entry(job.spec().id, static_cast<std::uint32_t>(first), bits));
+    out.add(finished_bitmap_entry(job.spec().id, static_cast<std::uint32_t>(first), bits));
   }
 }
 
 }  // namespace
 
-std::vector<Json> snapshot_entries(const Model& model,
+std::vector<Json> snapshot_entries(const ClusterState& cluster_state,
                                    const std::map<std::string, RentalRecord>& rentals,
                                    const EntryLimits& limits) {
   EntryList out(limits.max_runs);
-  for (const auto& [id, machine] : model.machines) add_machine(out, machine);
-  for (const auto& [id, job] : model.jobs) add_finished(out, job, limits.max_bitmap_tasks);
-  for (const auto& [name, record] : rentals) out.add(hire_entry(name, record));
+  for (const auto& [id, machine] : cluster_state.machines) add_machine(out, machine);
+  for (const auto& [id, job] : cluster_state.jobs) add_finished(out, job, limits.max_bitmap_tasks);
+  for (const auto& [name, record] : rentals) out.add(rental_requested_entry(name, record));
   return out.take();
 }
 
--- a/src/cluster/snapshot.hpp
+++ b/src/cluster/snapshot.hpp
@@ -21,7 +21,7 @@
 };
 
 /// Replaying these entries gives what replaying everything appended so far would give.
-std::vector<Json> snapshot_entries(const Model& model,
+std::vector<Json> snapshot_entries(const ClusterState& cluster_state,
                                    const std::map<std::string, RentalRecord>& rentals,
                                    const EntryLimits& limits);
 
--- a/src/constants.hpp
+++ b/src/constants.hpp
@@ -24,9 +24,9 @@
 inline constexpr std::size_t client_connections = 24;
 // waiting calls per remote service before new ones are refused at once.
 inline constexpr std::size_t client_backlog = 512;
-// bytes; a frame between siblings holds a status with at most `max_told_jobs` counts and
-// `max_told_cancellations` names, of some 60 and 42 bytes with the longest ids; anything larger is
-// garbage.
+// bytes; a frame between siblings holds a status with at most `max_advertised_jobs` counts and
+// `max_advertised_cancellations` names, of some 60 and 42 bytes with the longest ids; anything
+// larger is garbage.
 inline constexpr std::size_t max_peer_frame_bytes = 512 * 1024;
 // incoming connections of siblings: a handful, some of them half dead.
 inline constexpr int max_peer_connections = 16;
@@ -64,60 +64,60 @@
 
 // calls for users that may wait for the rate limit: as many as are out in a second, and at least so
 // many.
-inline constexpr std::size_t min_waiting_users = 60;
+inline constexpr std::size_t min_queued_user_requests = 60;
 
 // --- leadership ---
 // milliseconds; life of the leader's grant: long enough to ride out lost packets and slow
 // answers, short enough that workers' leases outlast a takeover.
-inline constexpr int grant_ttl_ms = 4000;
+inline constexpr int leader_lease_ttl_ms = 4000;
 // seconds between looks at the grant; far below its life.
-inline constexpr double leadership_tick_s = 0.1;
+inline constexpr double election_tick_s = 0.1;
 // seconds between renewals; three tries fit in the grant's life.
-inline constexpr double grant_renew_s = 1.0;
+inline constexpr double leader_lease_renew_s = 1.0;
 // seconds; a call that renews must answer within this to count.
-inline constexpr double grant_timeout_s = 1.5;
+inline constexpr double leader_lease_timeout_s = 1.5;
 // fraction; the bound PROTOCOL gives for drift of steady clocks, doubled for two clocks.
 inline constexpr double clock_drift = 0.001;
 // seconds; allowance for late timers and packets wherever a lease is waited out.
 inline constexpr double lease_margin_s = 1.0;
 // jobs whose counts one status frame tells; the counts are for display only.
-inline constexpr std::size_t max_told_jobs = 3000;
+inline constexpr std::size_t max_advertised_jobs = 3000;
 // seconds between status frames to siblings.
-inline constexpr double heartbeat_s = 1.0;
+inline constexpr double peer_heartbeat_s = 1.0;
 // cancelled jobs that one status frame names; a frame that would have to name more vouches for
 // nothing. Jobs that are cancelled and not over are few, except in a long outage.
-inline constexpr std::size_t max_told_cancellations = 6000;
+inline constexpr std::size_t max_advertised_cancellations = 6000;
 // seconds; a sibling's word is believed for this long.
-inline constexpr double peer_fresh_s = 3.0;
+inline constexpr double peer_status_fresh_s = 3.0;
 
 // seconds over which reports are counted to see whether workers reach their leader. A worker that
 // does not is sent on by a sibling every 5 s or so (PROTOCOL: 4 s without an answer, 1 s to the
 // next node), so that each of them shows within it; far below a lease.
-inline constexpr double reach_window_s = 6.0;
+inline constexpr double reachability_window_s = 6.0;
 // times as many reports redirected by siblings as come in here at which a leader resigns: a fault
 // of one zone or of some machines does not reach it.
 inline constexpr std::uint64_t resign_ratio = 4;
-// times `report_s` within which a worker reports (PROTOCOL: plus or minus a quarter).
-inline constexpr double report_jitter = 1.25;
+// times `heartbeat_interval_s` within which a worker reports (PROTOCOL: plus or minus a quarter).
+inline constexpr double heartbeat_jitter = 1.25;
 // machines below which silence says nothing about the way to the leader. Not more: a small fleet
 // whose leader waits to be told loses its leases.
-inline constexpr std::size_t reach_min_machines = 3;
+inline constexpr std::size_t reachability_min_machines = 3;
 // seconds for which one that has resigned leaves the key to its siblings, unless workers reach it.
-inline constexpr double stand_aside_s = 30.0;
+inline constexpr double resign_cooldown_s = 30.0;
 
 // share of the time that a cut leader may go on answering for which one answers that has not read
 // the journal yet: cancellations may have waited for it since before its election.
-inline constexpr double unready_answer_share = 0.25;
+inline constexpr double unready_response_share = 0.25;
 
 // --- users ---
 // seconds; polls are gathered this long and checked in one comparison.
-inline constexpr double poll_gather_s = 0.015;
+inline constexpr double poll_batch_s = 0.015;
 // seconds; what a call showed that was sent longer ago is not told to a user any more: another node
 // may have told of an end or a cancellation since. Above the few hundred ms that an answer takes
 // now and then, and below the patience of a poll.
-inline constexpr double verified_fresh_s = 1.0;
+inline constexpr double read_fresh_s = 1.0;
 // seconds; a submission held up by the state service's rate limit is tried again this long.
-inline constexpr double accept_patience_s = 1.0;
+inline constexpr double submission_retry_s = 1.0;
 // seconds told to a user in Retry-After.
 inline constexpr int retry_after_s = 1;
 // tasks; PROTOCOL's bound on one job.
@@ -150,11 +150,11 @@
 // the other half is there while it is written. Version 0.1.0 has a ring of just the least, and goes
 // on from a longer one after a snapshot of its own.
 inline constexpr std::uint64_t min_open_segments = 256;
-inline constexpr std::uint64_t open_segments_a_part = 4;
+inline constexpr std::uint64_t open_segments_per_chunk = 4;
 // bytes of segments after which a snapshot is due, unless the last snapshot was larger than half of
 // it: then twice its size, so that at most every third byte written is a snapshot's.
-inline constexpr std::size_t journal_least_bytes = 64 * 1024;
-inline constexpr std::size_t segment_bytes_a_snapshot_byte = 2;
+inline constexpr std::size_t min_journal_bytes_before_snapshot = 64 * 1024;
+inline constexpr std::size_t segment_bytes_per_snapshot_byte = 2;
 // runs one journal entry carries at most, so that records can be cut between entries; fewer where a
 // value must be small.
 inline constexpr std::size_t max_journal_entry_runs = 64;
@@ -167,15 +167,15 @@
 inline constexpr double journal_change_share = 0.3;
 // parts of a snapshot in one transaction; more would hold up users' writes, and only a snapshot
 // that would not be written before the segments run out has more.
-inline constexpr std::size_t min_snapshot_parts_a_write = 2;
+inline constexpr std::size_t min_snapshot_chunks_per_write = 2;
 // seconds before a transaction of the journal that was refused or not answered is sent again.
 inline constexpr double journal_retry_s = 0.1;
 // tasks one machine takes at most; keeps its reports and the answers within PROTOCOL's bounds.
 inline constexpr std::size_t max_tasks_per_machine = 150;
 // seconds between passes that write final records.
-inline constexpr double write_pass_s = 0.04;
+inline constexpr double finalize_interval_s = 0.04;
 // seconds between looks for jobs whose final record was held up by something else's change.
-inline constexpr double close_sweep_s = 2.0;
+inline constexpr double finalize_sweep_s = 2.0;
 // bits of an attempt number left to count within one leader's token.
 inline constexpr int attempt_bits = 24;
 
@@ -185,19 +185,19 @@
 // seconds between looks at the leases; fine against leases of several seconds.
 inline constexpr double lease_pass_s = 0.5;
 // seconds after which a worker gives up waiting for an answer (PROTOCOL).
-inline constexpr double worker_patience_s = 4.0;
+inline constexpr double worker_response_timeout_s = 4.0;
 // reports missed before a machine counts as late.
-inline constexpr double late_reports = 2.5;
+inline constexpr double overdue_heartbeats = 2.5;
 // seconds a machine is avoided after a failure, doubling.
 inline constexpr double avoid_first_s = 4;
 // seconds the answer to a report is kept back when a start for that machine is on its way into the
 // journal: far below the 4 s after which a worker gives up, and below the gap between reports.
-inline constexpr double hold_answer_s = 0.5;
+inline constexpr double max_response_hold_s = 0.5;
 // starts that the next report does not show, or sessions that end without showing any, before our
 // answers are taken not to arrive.
-inline constexpr int unheard_starts = 2;
+inline constexpr int max_unacknowledged_starts = 2;
 // leases after which a machine that does not hear us is given back.
-inline constexpr double deaf_leases = 3;
+inline constexpr double unresponsive_leases_before_release = 3;
 
 // --- planning ---
 // units; the paper's cost of a task with its image at hand and without (section 3.1).
@@ -255,9 +255,9 @@
 
 // --- machines ---
 // times the type's boot time after which a machine that never reported is given back.
-inline constexpr double boot_patience = 4.0;
+inline constexpr double boot_timeout_factor = 4.0;
 // seconds added to it, for types that boot at once.
-inline constexpr double boot_patience_floor_s = 30.0;
+inline constexpr double boot_timeout_floor_s = 30.0;
 // seconds a machine may stay silent beyond its lease before it is given back. One that has died is
 // listed as failed after half a minute; one that hangs or is cut off comes back with its images.
 inline constexpr double silence_grace_s = 90.0;
@@ -284,7 +284,7 @@
 inline constexpr double retry_most_s = 45.0;
 // tasks of a job that fails wherever it runs that are out at once: enough to see when it is mended,
 // without room kept busy for the rest.
-inline constexpr std::uint32_t retry_probes = 2;
+inline constexpr std::uint32_t max_retrying_tasks = 2;
 // seconds between looks at types and prices; prices move slowly.
 inline constexpr double catalog_every_s = 60.0;
 // seconds before a rental without an answer is asked for again.
--- a/src/coordination/api/job_api.hpp
+++ b/src/coordination/api/job_api.hpp
@@ -20,8 +20,9 @@
 
 class JobApi {
  public:
-  JobApi(transport::Runtime& runtime, StateStore& store, Directory& directory,
-         const protocol::Settings& settings, std::function<TaskCounts(const std::string&)> counts);
+  JobApi(transport::Runtime& runtime, KeyValueClient& key_value_client,
+         SharedStateCache& shared_state, const protocol::Settings& settings,
+         std::function<TaskCounts(const std::string&)> counts);
 
   void submit(const std::string& body, transport::Respond respond);
   void show(const std::string& id, transport::Respond respond);
@@ -29,15 +30,15 @@
 
  private:
   // What is certain about a job now.
-  enum class Certainty : std::uint8_t { live, over, absent, unsure };
-  using Verified = std::function<void(Certainty)>;
+  enum class ReadResult : std::uint8_t { live, over, absent, unsure };
+  using Verified = std::function<void(ReadResult)>;
   struct Question {
     std::string id;
     Verified answer;
   };
 
   void verify(const std::string& id, Verified answer);
-  void ask_gathered();
+  void flush_gathered();
   void ask(std::vector<Question> questions);
   // Whether what the answer at hand tells may still be told.
   bool fresh() const;
@@ -45,15 +46,15 @@
   void answer_current(const std::string& id, transport::Respond respond);
   void answer_state(const std::string& id, bool as_poll, const transport::Respond& respond) const;
   protocol::JobState state_of(const std::string& id) const;
-  std::string refusal(protocol::JobSpec& job) const;
+  std::string check_admission(protocol::JobSpec& job) const;
   void accept(protocol::JobSpec job, double since_s, transport::Respond respond);
   void mark_cancelled(const std::string& id, double since_s, const transport::Respond& respond);
   bool must_turn_away() const;
-  bool patient(double since_s) const;
+  bool within_retry_deadline(double since_s) const;
 
   transport::Runtime& runtime_;
-  StateStore& store_;
-  Directory& directory_;
+  KeyValueClient& key_value_client_;
+  SharedStateCache& shared_state_;
   const protocol::Settings& settings_;
   std::function<TaskCounts(const std::string&)> counts_;
   std::vector<Question> gathered_;
--- a/src/coordination/controller.hpp
+++ b/src/coordination/controller.hpp
@@ -21,62 +21,62 @@
 
 namespace poppystile::coordination {
 
-class Node {
+class Controller {
  public:
-  Node(transport::Runtime& runtime, transport::HttpCaller& http, transport::PeerNet& peers,
-       const protocol::Settings& settings, const protocol::Properties& properties,
-       std::uint64_t seed);
+  Controller(transport::Runtime& runtime, transport::HttpCaller& http,
+             transport::PeerTransport& peers, const protocol::Settings& settings,
+             const protocol::Properties& properties, std::uint64_t seed);
   void start();
   void handle(const transport::HttpRequest& request, transport::Respond respond);
   // Whether the request is a worker's report: leases hang on those.
   static bool is_vital(const transport::HttpRequest& request);
-  bool leads() const { return leadership_.leading(); }
+  bool is_leader() const { return election_.is_leader(); }
   // Of its newest election.
-  std::uint64_t token() const { return leadership_.token(); }
+  std::uint64_t token() const { return election_.token(); }
 
  private:
-  void send_heartbeat();
-  void on_heartbeat(const std::string& frame);
-  void report(const std::string& body, const transport::Respond& respond);
+  void broadcast_status();
+  void on_peer_status(const std::string& frame);
+  void handle_heartbeat(const std::string& body, const transport::Respond& respond);
   void check_worker_reachability();
   bool takes_requests() const;
   // Steady time up to which this node surely knows every cancellation that any user was told of.
   double cancellations_known_s() const;
   // Steady time until which a leader may answer workers.
-  double answer_until_s() const;
+  double may_respond_until_s() const;
   // Steady time by our clock of a time of day by a sibling's, surely not too late.
-  double steady_s(double wall_s) const;
+  double to_steady_s(double wall_s) const;
   TaskCounts counts(const std::string& job) const;
 
-  struct Sibling {
+  struct Peer {
     protocol::PeerStatus last;      // its newest frame
     std::uint64_t incarnation = 0;  // whose word counts
     // Steady; whatever cancellation it told a user before, in any life, its frames have told us.
-    double vouched_s = 0;
+    double confirmed_until_s = 0;
   };
-  void vouch(Sibling& sibling, const protocol::PeerStatus& status);
+  void confirm_cancellations_known(Peer& peer, const protocol::PeerStatus& status);
 
   transport::Runtime& runtime_;
-  transport::PeerNet& peers_;
+  transport::PeerTransport& peer_transport_;
   const protocol::Settings& settings_;
   // Tell this life of the process from earlier ones, of which nothing is remembered here.
   std::uint64_t incarnation_;
-  double born_wall_s_;
-  StateStore store_;
-  Directory directory_;
-  Leadership leadership_;
-  JournalDesk journal_;
-  CloudDesk cloud_;
-  Dispatcher dispatcher_;
-  JobApi users_;
-  std::map<std::string, Sibling> siblings_;
+  double started_at_wall_s_;
+  KeyValueClient key_value_client_;
+  SharedStateCache shared_state_;
+  LeaderElection election_;
+  JournalWriter journal_;
+  FleetManager fleet_;
+  Leader leader_;
+  JobApi job_api_;
+  std::map<std::string, Peer> peer_states_;
   // Steady; what was committed before is known to us by a sibling's directory.
-  double siblings_proven_s_ = 0;
+  double peers_fresh_as_of_s_ = 0;
   std::map<std::string, TaskCounts> advertised_counts_;  // by the leader
   // Reports since the last beat: that came to us as leader, that we redirected, that siblings did.
   struct WorkerReachability {
     double at_s = 0;
-    std::uint64_t heard = 0, redirected_reports = 0, redirected_elsewhere = 0;
+    std::uint64_t direct_reports = 0, redirected_heartbeats = 0, redirected_elsewhere = 0;
   };
   WorkerReachability reachability_now_;
   std::deque<WorkerReachability> reachability_;  // of the last beats
--- a/src/coordination/election/leader_election.cpp
+++ b/src/coordination/election/leader_election.cpp
@@ -11,125 +11,129 @@
 
 namespace keys = storage::keys;
 
-Leadership::Leadership(transport::Runtime& runtime, StateStore& store, Directory& directory,
-                       std::string name, std::uint64_t seed)
+LeaderElection::LeaderElection(transport::Runtime& runtime, KeyValueClient& key_value_client,
+                               SharedStateCache& shared_state, std::string name, std::uint64_t seed)
     : runtime_(runtime),
-      store_(store),
-      directory_(directory),
+      key_value_client_(key_value_client),
+      shared_state_(shared_state),
       name_(std::move(name)),
       random_(seed) {
-  directory_.on_leader([this] { leader_changed(); });
+  shared_state_.on_leader([this] { leader_changed(); });
 }
 
-protocol::Condition Leadership::fence() const { return {keys::leader, version_}; }
+protocol::Condition LeaderElection::fence() const { return {keys::leader, version_}; }
 
-bool Leadership::grant_holds() const {
-  return leading_ && runtime_.now_s() - confirmed_s_ <
-                         constants::grant_ttl_ms / 1000.0 * (1 - constants::clock_drift);
+bool LeaderElection::lease_holds() const {
+  return is_leader_ && runtime_.now_s() - lease_confirmed_at_s_ <
+                           constants::leader_lease_ttl_ms / 1000.0 * (1 - constants::clock_drift);
 }
 
-void Leadership::start() { tick(); }
+void LeaderElection::start() { tick(); }
 
-void Leadership::tick() {
+void LeaderElection::tick() {
   std::uniform_real_distribution<double> jitter(0.8, 1.2);
-  runtime_.after(constants::leadership_tick_s * jitter(random_), [this] { tick(); });
-  if (leading_) {
-    if (!renewing_ && runtime_.now_s() - renewed_s_ >= constants::grant_renew_s) renew();
+  runtime_.after(constants::election_tick_s * jitter(random_), [this] { tick(); });
+  if (is_leader_) {
+    if (!renewing_ && runtime_.now_s() - renewal_sent_at_s_ >= constants::leader_lease_renew_s)
+      renew();
   } else {
-    consider();
+    maybe_campaign();
   }
 }
 
-void Leadership::consider() {
-  if (trying_ || !directory_.loaded() || runtime_.now_s() < aside_until_s_) return;
-  const auto& leader = directory_.leader();
+void LeaderElection::maybe_campaign() {
+  if (campaigning_ || !shared_state_.loaded() || runtime_.now_s() < cooldown_until_s_) return;
+  const auto& leader = shared_state_.leader();
   // A key with our own name is an earlier life's: that process has ended, so it can be replaced.
   if (leader && leader->record.name != name_) return;
-  trying_ = true;
+  campaigning_ = true;
   const double sent = runtime_.now_s();
-  store_.create_lease(constants::grant_ttl_ms, [this, sent](Outcome outcome, std::uint64_t lease) {
-    if (outcome == Outcome::ok) return run_for_it(lease, sent);
-    runtime_.after(constants::state_retry_s, [this] { trying_ = false; });
-  });
+  key_value_client_.create_lease(
+      constants::leader_lease_ttl_ms, [this, sent](CallStatus outcome, std::uint64_t lease) {
+        if (outcome == CallStatus::ok) return campaign(lease, sent);
+        runtime_.after(constants::state_retry_s, [this] { campaigning_ = false; });
+      });
 }
 
-void Leadership::run_for_it(std::uint64_t lease, double sent_s) {
-  const auto& leader = directory_.leader();
+void LeaderElection::campaign(std::uint64_t lease, double sent_s) {
+  const auto& leader = shared_state_.leader();
   const std::uint64_t held = leader ? leader->version : 0;
   if (leader && leader->record.name != name_) {
-    trying_ = false;
-    return store_.drop_lease(lease);
+    campaigning_ = false;
+    return key_value_client_.revoke_lease(lease);
   }
-  const std::uint64_t token = directory_.token() + 1;
+  const std::uint64_t token = shared_state_.token() + 1;
   protocol::Transaction transaction;
-  transaction.conditions = {{keys::leader, held}, {keys::token, directory_.token_version()}};
+  transaction.conditions = {{keys::leader, held}, {keys::token, shared_state_.token_version()}};
   transaction.changes = {
       {keys::leader, storage::encode(storage::LeaderRecord{name_, token}).dump(), lease},
       {keys::token, storage::encode_token(token).dump(), 0}};
-  store_.transact(
-      transaction, Urgency::lease, [this, lease, token, sent_s](const TransactionResult& result) {
-        if (result.outcome == Outcome::ok) {
-          trying_ = false;
-          leading_ = true;
+  key_value_client_.compare_and_swap(
+      transaction, RequestPriority::lease,
+      [this, lease, token, sent_s](const TransactionResult& result) {
+        if (result.outcome == CallStatus::ok) {
+          campaigning_ = false;
+          is_leader_ = true;
           lease_ = lease;
           token_ = token;
           version_ = result.revision;
-          won_s_ = confirmed_s_ = renewed_s_ = sent_s;
+          elected_at_s_ = lease_confirmed_at_s_ = renewal_sent_at_s_ = sent_s;
           spdlog::info("leading token={}", token_);
-          directory_.learn(keys::token, storage::encode_token(token), version_);
-          directory_.learn(keys::leader, storage::encode(storage::LeaderRecord{name_, token}),
-                           version_);
-          if (on_won_) on_won_();
+          shared_state_.apply_response(keys::token, storage::encode_token(token), version_);
+          shared_state_.apply_response(
+              keys::leader, storage::encode(storage::LeaderRecord{name_, token}), version_);
+          if (on_elected_) on_elected_();
           return;
         }
         // With no answer the attempt may still succeed: then the watch shows our name,
         // and the next attempt replaces it under a higher token.
-        if (result.outcome != Outcome::unknown) store_.drop_lease(lease);
-        runtime_.after(constants::state_retry_s, [this] { trying_ = false; });
+        if (result.outcome != CallStatus::unknown) key_value_client_.revoke_lease(lease);
+        runtime_.after(constants::state_retry_s, [this] { campaigning_ = false; });
       });
 }
 
-void Leadership::renew() {
+void LeaderElection::renew() {
   renewing_ = true;
-  renewed_s_ = runtime_.now_s();
-  const double sent = renewed_s_;
+  renewal_sent_at_s_ = runtime_.now_s();
+  const double sent = renewal_sent_at_s_;
   const std::uint64_t lease = lease_;
-  store_.renew_lease(lease, [this, sent, lease](Outcome outcome) {
+  key_value_client_.renew_lease(lease, [this, sent, lease](CallStatus outcome) {
     renewing_ = false;
-    if (!leading_ || lease != lease_) return;
-    if (outcome == Outcome::ok) {
-      confirmed_s_ = std::max(confirmed_s_, sent);
-    } else if (outcome == Outcome::lease_gone) {
+    if (!is_leader_ || lease != lease_) return;
+    if (outcome == CallStatus::ok) {
+      lease_confirmed_at_s_ = std::max(lease_confirmed_at_s_, sent);
+    } else if (outcome == CallStatus::lease_gone) {
       step_down("grant ended");
     } else {
-      renewed_s_ = runtime_.now_s() - constants::grant_renew_s + constants::state_retry_s;
+      renewal_sent_at_s_ =
+          runtime_.now_s() - constants::leader_lease_renew_s + constants::state_retry_s;
     }
   });
 }
 
-void Leadership::leader_changed() {
-  if (!leading_) return;
-  const auto& leader = directory_.leader();
+void LeaderElection::leader_changed() {
+  if (!is_leader_) return;
+  const auto& leader = shared_state_.leader();
   if (!leader || leader->version != version_) step_down("key taken or gone");
 }
 
-bool Leadership::deposed(const TransactionResult& result) {
+bool LeaderElection::step_down_if_deposed(const TransactionResult& result) {
   if (std::find(result.failed.begin(), result.failed.end(), keys::leader) == result.failed.end())
     return false;
   step_down("a write found another leader");
   return true;
 }
 
-void Leadership::resign(const std::string& why, double aside_s) {
-  aside_until_s_ = runtime_.now_s() + aside_s;
-  store_.drop_lease(lease_);
+void LeaderElection::resign(const std::string& why, double cooldown_s) {
+  cooldown_until_s_ = runtime_.now_s() + cooldown_s;
+  key_value_client_.revoke_lease(lease_);
   step_down(why);
 }
 
-void Leadership::step_down(const std::string& why) {
-  if (!std::exchange(leading_, false)) return;
+void LeaderElection::step_down(const std::string& why) {
+  if (!std::exchange(is_leader_, false)) return;
   spdlog::info("no longer leading token={} why=\"{}\"", token_, why);
-  if (on_lost_) on_lost_();
+  if (on_deposed_) on_deposed_();
 }
 
 }  // namespace poppystile::coordination
--- a/src/coordination/election/leader_election.hpp
+++ b/src/coordination/election/leader_election.hpp
@@ -10,56 +10,56 @@
 
 namespace poppystile::coordination {
 
-class Leadership {
+class LeaderElection {
  public:
-  Leadership(transport::Runtime& runtime, StateStore& store, Directory& directory, std::string name,
-             std::uint64_t seed);
+  LeaderElection(transport::Runtime& runtime, KeyValueClient& key_value_client,
+                 SharedStateCache& shared_state, std::string name, std::uint64_t seed);
   void start();
 
-  bool leading() const { return leading_; }
+  bool is_leader() const { return is_leader_; }
   std::uint64_t token() const { return token_; }
   // Every write of a leader is conditional on this: a late one of a former leader changes nothing.
   protocol::Condition fence() const;
   // Steady time at which the newest confirmed renewal was sent.
-  double confirmed_s() const { return confirmed_s_; }
+  double lease_confirmed_at_s() const { return lease_confirmed_at_s_; }
   // Whether the grant cannot have run out yet, so that nobody else can lead.
-  bool grant_holds() const;
+  bool lease_holds() const;
   // Steady time at which the election was asked for that this node won.
-  double won_s() const { return won_s_; }
+  double elected_at_s() const { return elected_at_s_; }
   void step_down(const std::string& why);
   // Whether a write was refused because somebody else leads; then this node does not any more.
-  bool deposed(const TransactionResult& result);
+  bool step_down_if_deposed(const TransactionResult& result);
   // Gives the grant back, so that a sibling can lead at once, and does not run again for a while.
-  void resign(const std::string& why, double aside_s);
+  void resign(const std::string& why, double cooldown_s);
   // Ends that while.
-  void run_again() { aside_until_s_ = 0; }
-  void on_won(std::function<void()> handler) { on_won_ = std::move(handler); }
-  void on_lost(std::function<void()> handler) { on_lost_ = std::move(handler); }
+  void end_cooldown() { cooldown_until_s_ = 0; }
+  void on_elected(std::function<void()> handler) { on_elected_ = std::move(handler); }
+  void on_deposed(std::function<void()> handler) { on_deposed_ = std::move(handler); }
 
  private:
   void tick();
-  void consider();
-  void run_for_it(std::uint64_t lease, double sent_s);
+  void maybe_campaign();
+  void campaign(std::uint64_t lease, double sent_s);
   void renew();
   void leader_changed();
 
   transport::Runtime& runtime_;
-  StateStore& store_;
-  Directory& directory_;
+  KeyValueClient& key_value_client_;
+  SharedStateCache& shared_state_;
   std::string name_;
   std::mt19937_64 random_;
-  bool leading_ = false;
-  bool trying_ = false;
+  bool is_leader_ = false;
+  bool campaigning_ = false;
   bool renewing_ = false;
   std::uint64_t lease_ = 0;
   std::uint64_t token_ = 0;
   std::uint64_t version_ = 0;  // of the leader's key
-  double confirmed_s_ = 0;
-  double won_s_ = 0;
-  double renewed_s_ = 0;
-  double aside_until_s_ = 0;  // steady; does not run for the key before
-  std::function<void()> on_won_;
-  std::function<void()> on_lost_;
+  double lease_confirmed_at_s_ = 0;
+  double elected_at_s_ = 0;
+  double renewal_sent_at_s_ = 0;
+  double cooldown_until_s_ = 0;  // steady; does not run for the key before
+  std::function<void()> on_elected_;
+  std::function<void()> on_deposed_;
 };
 
 }  // namespace poppystile::coordination
--- a/src/coordination/fleet/fleet_manager.cpp
+++ b/src/coordination/fleet/fleet_manager.cpp
@@ -14,14 +14,16 @@
 using protocol::MachineType;
 using transport::HttpResponse;
 
-CloudDesk::CloudDesk(transport::Runtime& runtime, transport::HttpCaller& http, StateStore& store,
-                     Directory& directory, Leadership& leadership, JournalDesk& journal,
-                     const protocol::Settings& settings, const protocol::Properties& properties)
+FleetManager::FleetManager(transport::Runtime& runtime, transport::HttpCaller& http,
+                           KeyValueClient& key_value_client, SharedStateCache& shared_state,
+                           LeaderElection& election, JournalWriter& journal,
+                           const protocol::Settings& settings,
+                           const protocol::Properties& properties)
     : runtime_(runtime),
       http_(http),
-      store_(store),
-      directory_(directory),
-      leadership_(leadership),
+      key_value_client_(key_value_client),
+      shared_state_(shared_state),
+      election_(election),
       journal_(journal),
       settings_(settings),
       properties_(properties),
@@ -29,10 +31,10 @@
   budget_.set_share(constants::cloud_rate_share);
 }
 
-void CloudDesk::begin(cluster::Model& model,
-                      const std::map<std::string, storage::RentalRecord>& rentals) {
+void FleetManager::begin_term(cluster::ClusterState& cluster_state,
+                              const std::map<std::string, storage::RentalRecord>& rentals) {
   ++term_;
-  model_ = &model;
+  cluster_state_ = &cluster_state;
   began_s_ = runtime_.now_s();
   rentals_.clear();
   to_release_.clear();
@@ -40,32 +42,32 @@
   demands_.clear();
   listing_ = releasing_ = catalog_busy_ = false;
   list_after_.clear();
-  if (types_.empty()) types_ = directory_.types();
+  if (types_.empty()) types_ = shared_state_.types();
   for (const auto& [name, record] : rentals) {
-    Rental hire{record};
-    hire.asked = true;  // by a former leader, for all we know
-    rentals_[name] = hire;
+    Rental rental{record};
+    rental.asked = true;  // by a former leader, for all we know
+    rentals_[name] = rental;
   }
 }
 
-std::map<std::string, storage::RentalRecord> CloudDesk::rental_records() const {
+std::map<std::string, storage::RentalRecord> FleetManager::rental_records() const {
   std::map<std::string, storage::RentalRecord> out;
   for (const auto& [name, rental] : rentals_) out[name] = rental.record;
   return out;
 }
 
-void CloudDesk::end() {
+void FleetManager::end_term() {
   ++term_;
-  model_ = nullptr;
+  cluster_state_ = nullptr;
 }
 
-const MachineType* CloudDesk::type(const std::string& name) const {
+const MachineType* FleetManager::type(const std::string& name) const {
   for (const auto& each : types_)
     if (each.name == name) return &each;
   return nullptr;
 }
 
-bool CloudDesk::fill_in(Machine& machine) const {
+bool FleetManager::apply_machine_type(Machine& machine) const {
   const MachineType* known = type(machine.type);
   if (known == nullptr) return false;
   machine.size = known->size;
@@ -75,48 +77,50 @@
   return true;
 }
 
-Machine* CloudDesk::admit(Machine machine) {
-  if (!fill_in(machine)) return nullptr;
-  journal_.append(storage::known_entry(machine.id, machine.type, machine.zone, machine.spot,
-                                       machine.session, machine.rented_wall_s));
+Machine* FleetManager::admit(Machine machine) {
+  if (!apply_machine_type(machine)) return nullptr;
+  journal_.append(storage::machine_registered_entry(machine.id, machine.type, machine.zone,
+                                                    machine.spot, machine.incarnation,
+                                                    machine.rented_wall_s));
   const std::string id = machine.id;
-  return &model_->machines.insert_or_assign(id, std::move(machine)).first->second;
+  return &cluster_state_->machines.insert_or_assign(id, std::move(machine)).first->second;
 }
 
-bool CloudDesk::affordable() { return budget_.take(1, false, runtime_.now_s()); }
+bool FleetManager::take_call_budget() { return budget_.take(1, false, runtime_.now_s()); }
 
-void CloudDesk::call(transport::HttpRequest request, std::function<void(HttpResponse)> done) {
+void FleetManager::call(transport::HttpRequest request, std::function<void(HttpResponse)> done) {
   const std::uint64_t term = term_;
   http_.call(settings_.cloud, std::move(request), constants::cloud_timeout_s,
              [this, term, done = std::move(done)](HttpResponse response) {
-               if (term == term_ && model_ != nullptr) done(std::move(response));
+               if (term == term_ && cluster_state_ != nullptr) done(std::move(response));
              });
 }
 
-void CloudDesk::pass() {
+void FleetManager::run_pass() {
   // Neither the cloud nor the worker asks who releases a machine: one that stood still, or lost the
   // state service, may have a successor that has given the machine new work.
-  if (model_ == nullptr || !leadership_.grant_holds()) return;
+  if (cluster_state_ == nullptr || !election_.lease_holds()) return;
   const double now = runtime_.now_s();
   if (!catalog_busy_ && (catalog_s_ == 0 || now - catalog_s_ > constants::catalog_every_s) &&
-      affordable())
+      take_call_budget())
     fetch_catalog();
   if (types_.empty()) return;
-  for (auto& [name, hire] : rentals_)
-    if (journal_.durable(hire.log_position) && !hire.asking && hire.ask_at_s <= now && affordable())
-      request_rental(name, hire);
+  for (auto& [name, rental] : rentals_)
+    if (journal_.is_durable(rental.log_position) && !rental.asking && rental.ask_at_s <= now &&
+        take_call_budget())
+      request_rental(name, rental);
   if (now - sized_s_ >= constants::fleet_pass_s) {
     sized_s_ = now;
-    release_lost();
-    size_fleet();
+    release_overdue();
+    reconcile_capacity();
   }
   release_due();
-  if (list_due(now) && affordable()) read_list();
+  if (list_due(now) && take_call_budget()) fetch_machine_list();
 }
 
 // --- catalog ---
 
-void CloudDesk::fetch_catalog() {
+void FleetManager::fetch_catalog() {
   catalog_busy_ = true;
   call({"GET", protocol::catalog_path, ""}, [this](const HttpResponse& response) {
     catalog_busy_ = false;
@@ -132,35 +136,36 @@
 }
 
 // Recorded once, so that a node that starts while the cloud is down can still judge submissions.
-void CloudDesk::record_catalog(const std::vector<MachineType>& types) {
-  if (directory_.catalog_version() != 0) return;
+void FleetManager::record_catalog(const std::vector<MachineType>& types) {
+  if (shared_state_.catalog_version() != 0) return;
   const protocol::Json value = storage::encode_catalog(types);
   if (value.dump().size() > settings_.state_limits.max_value_bytes())
     return spdlog::error("catalog too large to be recorded types={}", types.size());
   protocol::Transaction transaction;
-  transaction.conditions = {leadership_.fence(), {storage::keys::catalog, 0}};
+  transaction.conditions = {election_.fence(), {storage::keys::catalog, 0}};
   transaction.changes = {{storage::keys::catalog, value.dump(), 0}};
-  store_.transact(transaction, Urgency::user, [this, value](const TransactionResult& result) {
-    if (result.outcome == Outcome::ok)
-      return directory_.learn(storage::keys::catalog, value, result.revision);
-    catalog_s_ = 0;  // asked for and offered again
-  });
+  key_value_client_.compare_and_swap(
+      transaction, RequestPriority::user, [this, value](const TransactionResult& result) {
+        if (result.outcome == CallStatus::ok)
+          return shared_state_.apply_response(storage::keys::catalog, value, result.revision);
+        catalog_s_ = 0;  // asked for and offered again
+      });
 }
 
 // --- rentals ---
 
-void CloudDesk::request_rental(const std::string& name, Rental& hire) {
-  hire.asking = hire.asked = true;
-  const auto& want = hire.record;
-  call({"POST", protocol::hire_path,
-        protocol::encode_hire(name, want.type, want.zone, want.spot, want.count)},
+void FleetManager::request_rental(const std::string& name, Rental& rental) {
+  rental.asking = rental.asked = true;
+  const auto& want = rental.record;
+  call({"POST", protocol::rentals_path,
+        protocol::encode_rental(name, want.type, want.zone, want.spot, want.count)},
        [this, name](HttpResponse response) {
          const auto it = rentals_.find(name);
          if (it == rentals_.end()) return;
          Rental& asked = it->second;
          asked.asking = false;
          asked.ask_at_s = runtime_.now_s() + constants::rental_retry_s;
-         if (response.status == 200) return hired(name, response.body);
+         if (response.status == 200) return on_rented(name, response.body);
          const bool refused =
              response.status == 400 ||
              (response.status == 503 && response.body.find("no capacity") != std::string::npos);
@@ -168,27 +173,27 @@
          const auto& record = asked.record;
          spdlog::info("rental refused name={} type={} zone={} spot={} status={}", name, record.type,
                       record.zone, record.spot, response.status);
-         refuse({record.type, record.zone, record.spot});
-         settle(name);
+         back_off_offer({record.type, record.zone, record.spot});
+         settle_rental(name);
        });
 }
 
-void CloudDesk::refuse(const planning::Offer& offer) {
+void FleetManager::back_off_offer(const planning::Offer& offer) {
   double& pause = refusals_[offer].pause_s;
   pause = std::clamp(2 * pause, constants::no_capacity_pause_s, constants::no_capacity_most_s);
   refusals_[offer].until_s = runtime_.now_s() + pause;
 }
 
-void CloudDesk::settle(const std::string& name) {
+void FleetManager::settle_rental(const std::string& name) {
   rentals_.erase(name);
-  journal_.append(storage::hire_settled_entry(name));
+  journal_.append(storage::rental_settled_entry(name));
 }
 
-void CloudDesk::hired(const std::string& name, const std::string& body) {
+void FleetManager::on_rented(const std::string& name, const std::string& body) {
   const storage::RentalRecord record = rentals_[name].record;
   std::vector<std::string> ids;
   try {
-    ids = protocol::parse_hired(body);
+    ids = protocol::parse_rented(body);
   } catch (const protocol::DecodeError& problem) {
     return spdlog::info("rental answer malformed name={} why=\"{}\"", name, problem.what());
   }
@@ -196,9 +201,9 @@
                record.zone, record.spot, record.count, ids.size());
   const planning::Offer offer{record.type, record.zone, record.spot};
   if (!ids.empty()) refusals_.erase(offer);
-  if (static_cast<int>(ids.size()) < record.count) refuse(offer);
+  if (static_cast<int>(ids.size()) < record.count) back_off_offer(offer);
   for (const auto& id : ids) {
-    if (model_->machines.contains(id) || released_.contains(id)) continue;
+    if (cluster_state_->machines.contains(id) || released_.contains(id)) continue;
     Machine machine;
     machine.id = id;
     machine.type = record.type;
@@ -208,12 +213,12 @@
     admit(std::move(machine));
   }
   // After the machines, so that no reader of the journal ever misses both.
-  settle(name);
+  settle_rental(name);
 }
 
-void CloudDesk::size_fleet() {
-  drop_hopeless();
-  planning::FleetContext context;
+void FleetManager::reconcile_capacity() {
+  release_unrequested_refused();
+  planning::ScalingContext context;
   context.now_s = runtime_.now_s();
   context.now_wall_s = runtime_.wall_s();
   context.types = &types_;
@@ -224,67 +229,70 @@
   context.service_reserve = properties_.service_reserve;
   for (const auto& [offer, refusal] : refusals_)
     if (refusal.until_s > context.now_s) context.refused.insert(offer);
-  for (const auto& [name, hire] : rentals_)
-    context.underway.push_back(
-        {{hire.record.type, hire.record.zone, hire.record.spot}, hire.record.count});
-  const planning::FleetPlan plan = planning::plan_fleet(*model_, context);
+  for (const auto& [name, rental] : rentals_)
+    context.pending.push_back(
+        {{rental.record.type, rental.record.zone, rental.record.spot}, rental.record.count});
+  const planning::ScalingPlan plan = planning::plan_scaling(*cluster_state_, context);
   // Calls are few: what cannot be asked for soon is not fixed in a request yet, so that it grows
   // together with what is wanted by then.
   const auto most = static_cast<std::size_t>(std::ceil(settings_.cloud_rps));
-  for (const auto& want : plan.hire) {
+  for (const auto& want : plan.rent) {
     if (rentals_.size() >= most) break;
     // The token makes the name this leader's own: it is never used again.
     const std::string name =
-        "h-" + std::to_string(leadership_.token()) + "-" + std::to_string(++names_);
-    Rental hire{{want.offer.type, want.offer.zone, want.offer.spot, want.count}};
+        "h-" + std::to_string(election_.token()) + "-" + std::to_string(++names_);
+    Rental rental{{want.offer.type, want.offer.zone, want.offer.spot, want.count}};
     // The intent is written before the request is made.
-    hire.log_position = journal_.append(storage::hire_entry(name, hire.record));
-    rentals_[name] = hire;
+    rental.log_position = journal_.append(storage::rental_requested_entry(name, rental.record));
+    rentals_[name] = rental;
   }
   demands_.emplace_back(context.now_s, plan.demand_cpus);
   for (const auto& id : plan.release) {
-    model_->machines.at(id).releasing = true;
+    cluster_state_->machines.at(id).releasing = true;
     to_release_.insert(id);
   }
-  for (const auto& id : plan.undrain) model_->machines.at(id).draining = false;
+  for (const auto& id : plan.uncordon) cluster_state_->machines.at(id).draining = false;
   // Until demand has been seen for a while nobody knows what is too much.
   if (context.now_s - began_s_ < properties_.idle_keep_s) return;
   for (const auto& id : plan.drain) {
     spdlog::debug("machine drains id={}", id);
-    model_->machines.at(id).draining = true;
+    cluster_state_->machines.at(id).draining = true;
   }
 }
 
 // What nobody has asked for yet and has been refused under another name meanwhile.
-void CloudDesk::drop_hopeless() {
+void FleetManager::release_unrequested_refused() {
   std::vector<std::string> hopeless;
-  for (const auto& [name, hire] : rentals_) {
-    const auto refusal = refusals_.find({hire.record.type, hire.record.zone, hire.record.spot});
-    if (!hire.asked && refusal != refusals_.end() && refusal->second.until_s > runtime_.now_s())
+  for (const auto& [name, rental] : rentals_) {
+    const auto refusal =
+        refusals_.find({rental.record.type, rental.record.zone, rental.record.spot});
+    if (!rental.asked && refusal != refusals_.end() && refusal->second.until_s > runtime_.now_s())
       hopeless.push_back(name);
   }
-  for (const auto& name : hopeless) settle(name);
+  for (const auto& name : hopeless) settle_rental(name);
 }
 
 // --- releases ---
 
 // Machines that never came up, fell silent for good, or fail everything.
-void CloudDesk::release_lost() {
+void FleetManager::release_overdue() {
   const double now = runtime_.now_s();
-  for (auto& [id, machine] : model_->machines) {
+  for (auto& [id, machine] : cluster_state_->machines) {
     if (machine.releasing) continue;
     std::string why;
-    const double silent = now - std::max(machine.last_answer_s, began_s_);
+    const double silent = now - std::max(machine.last_response_s, began_s_);
     const MachineType* known = type(machine.type);
     const double boot = known == nullptr ? 0 : known->boot_s;
-    if (machine.session == 0) {
+    if (machine.incarnation == 0) {
       const double age = runtime_.wall_s() - machine.rented_wall_s;
-      if (age > boot * constants::boot_patience + constants::boot_patience_floor_s)
+      if (age > boot * constants::boot_timeout_factor + constants::boot_timeout_floor_s)
         why = "never came up";
     } else if (silent > settings_.lease_s + constants::silence_grace_s) {
       why = "silent";
-    } else if (machine.heard && (machine.suspect || !machine.confirmed) &&
-               now - machine.suspect_s > constants::deaf_leases * settings_.lease_s) {
+    } else if (machine.has_reported &&
+               (machine.is_unresponsive || !machine.has_acknowledged_token) &&
+               now - machine.unresponsive_since_s >
+                   constants::unresponsive_leases_before_release * settings_.lease_s) {
       why = "does not hear us";
     } else if (machine.quarantined && machine.placements.empty()) {
       why = "quarantined";
@@ -296,9 +304,9 @@
   }
 }
 
-void CloudDesk::release_due() {
+void FleetManager::release_due() {
   const double now = runtime_.now_s();
-  if (releasing_ || to_release_.empty() || now < release_s_ || !affordable()) return;
+  if (releasing_ || to_release_.empty() || now < release_s_ || !take_call_budget()) return;
   std::vector<std::string> batch;
   for (const auto& id : to_release_) {
     batch.push_back(id);
@@ -307,7 +315,7 @@
   release(batch);
 }
 
-void CloudDesk::release(const std::vector<std::string>& machines) {
+void FleetManager::release(const std::vector<std::string>& machines) {
   releasing_ = true;
   call({"POST", protocol::release_path, protocol::encode_release(machines)},
        [this, machines](const HttpResponse& response) {
@@ -317,10 +325,10 @@
          for (const auto& id : machines) {
            to_release_.erase(id);
            released_.insert(id);
-           const auto it = model_->machines.find(id);
-           if (it == model_->machines.end()) continue;
+           const auto it = cluster_state_->machines.find(id);
+           if (it == cluster_state_->machines.end()) continue;
            spdlog::info("machine released id={}", id);
-           on_gone_(it->second, "released");
+           on_machine_removed_(it->second, "released");
          }
        });
 }
@@ -329,13 +337,13 @@
 
 // A large fleet has many pages. They are asked for one at a time, at a share of the calls that the
 // cloud takes, so that rentals and releases are never crowded out.
-bool CloudDesk::list_due(double now_s) const {
+bool FleetManager::list_due(double now_s) const {
   const double pause = list_after_.empty() ? constants::list_every_s
                                            : 1 / (constants::list_call_share * settings_.cloud_rps);
   return !listing_ && now_s - list_s_ >= std::min(pause, constants::list_every_s);
 }
 
-void CloudDesk::read_list() {
+void FleetManager::fetch_machine_list() {
   listing_ = true;
   call({"GET", protocol::list_path(list_after_), ""}, [this](const HttpResponse& response) {
     listing_ = false;
@@ -347,7 +355,7 @@
     } catch (const protocol::DecodeError& problem) {
       return spdlog::info("machine list malformed why=\"{}\"", problem.what());
     }
-    for (const auto& each : list.machines) listed(each);
+    for (const auto& each : list.machines) reconcile_listed(each);
     const bool more = list.more && !list.machines.empty();
     list_after_ = more ? list.machines.back().id : "";
   });
@@ -355,10 +363,10 @@
 
 // A list lags and may be older than the one before: what it shows of a machine that is there is
 // true at some time, what it does not show proves nothing. `failed` is final.
-void CloudDesk::listed(const protocol::ListedMachine& machine) {
+void FleetManager::reconcile_listed(const protocol::ListedMachine& machine) {
   if (released_.contains(machine.id)) return;
-  auto it = model_->machines.find(machine.id);
-  if (it == model_->machines.end()) {
+  auto it = cluster_state_->machines.find(machine.id);
+  if (it == cluster_state_->machines.end()) {
     // A list as old as a former leader may show what that one has released since.
     if (runtime_.now_s() - began_s_ < 2 * settings_.list_lag_s + constants::lease_margin_s) return;
     Machine fresh;
@@ -369,7 +377,7 @@
     fresh.rented_wall_s = runtime_.wall_s() - machine.age_s;
     if (admit(std::move(fresh)) == nullptr) return;
     spdlog::info("machine adopted from the list id={}", machine.id);
-    it = model_->machines.find(machine.id);
+    it = cluster_state_->machines.find(machine.id);
   }
   if (machine.state == protocol::MachineState::failed && !it->second.releasing) {
     spdlog::info("machine failed id={}", machine.id);
--- a/src/coordination/fleet/fleet_manager.hpp
+++ b/src/coordination/fleet/fleet_manager.hpp
@@ -28,55 +28,57 @@
   double ask_at_s = 0;
 };
 
-class CloudDesk {
+class FleetManager {
  public:
-  CloudDesk(transport::Runtime& runtime, transport::HttpCaller& http, StateStore& store,
-            Directory& directory, Leadership& leadership, JournalDesk& journal,
-            const protocol::Settings& settings, const protocol::Properties& properties);
+  FleetManager(transport::Runtime& runtime, transport::HttpCaller& http,
+               KeyValueClient& key_value_client, SharedStateCache& shared_state,
+               LeaderElection& election, JournalWriter& journal, const protocol::Settings& settings,
+               const protocol::Properties& properties);
 
-  void begin(cluster::Model& model, const std::map<std::string, storage::RentalRecord>& rentals);
-  void end();
-  void pass();  // called often while leading
+  void begin_term(cluster::ClusterState& cluster_state,
+                  const std::map<std::string, storage::RentalRecord>& rentals);
+  void end_term();
+  void run_pass();  // called often while leading
   // What was asked for and is not settled yet.
   std::map<std::string, storage::RentalRecord> rental_records() const;
   bool released(const std::string& machine) const { return released_.contains(machine); }
   const protocol::MachineType* type(const std::string& name) const;
   // A machine's fields that follow from its type.
-  bool fill_in(cluster::Machine& machine) const;
+  bool apply_machine_type(cluster::Machine& machine) const;
   // Takes a machine into the model and the journal; nothing when its type is unknown.
   cluster::Machine* admit(cluster::Machine machine);
   // Tells that everything on a machine is proven gone.
-  void on_gone(std::function<void(cluster::Machine&, const std::string&)> handler) {
-    on_gone_ = std::move(handler);
+  void on_machine_removed(std::function<void(cluster::Machine&, const std::string&)> handler) {
+    on_machine_removed_ = std::move(handler);
   }
 
  private:
   void call(transport::HttpRequest request, std::function<void(transport::HttpResponse)> done);
-  bool affordable();
+  bool take_call_budget();
   void fetch_catalog();
   void record_catalog(const std::vector<protocol::MachineType>& types);
-  void request_rental(const std::string& name, Rental& hire);
-  void refuse(const planning::Offer& offer);
-  void settle(const std::string& name);
-  void hired(const std::string& name, const std::string& body);
-  void release_lost();
-  void size_fleet();
-  void drop_hopeless();
+  void request_rental(const std::string& name, Rental& rental);
+  void back_off_offer(const planning::Offer& offer);
+  void settle_rental(const std::string& name);
+  void on_rented(const std::string& name, const std::string& body);
+  void release_overdue();
+  void reconcile_capacity();
+  void release_unrequested_refused();
   void release(const std::vector<std::string>& machines);
   void release_due();
   bool list_due(double now_s) const;
-  void read_list();  // the next page
-  void listed(const protocol::ListedMachine& machine);
+  void fetch_machine_list();  // the next page
+  void reconcile_listed(const protocol::ListedMachine& machine);
 
   transport::Runtime& runtime_;
   transport::HttpCaller& http_;
-  StateStore& store_;
-  Directory& directory_;
-  Leadership& leadership_;
-  JournalDesk& journal_;
+  KeyValueClient& key_value_client_;
+  SharedStateCache& shared_state_;
+  LeaderElection& election_;
+  JournalWriter& journal_;
   const protocol::Settings& settings_;
   const protocol::Properties& properties_;
-  cluster::Model* model_ = nullptr;
+  cluster::ClusterState* cluster_state_ = nullptr;
   std::vector<protocol::MachineType> types_;  // with current prices; the directory's until then
   std::map<std::string, Rental> rentals_;
   std::set<std::string> to_release_;
@@ -87,7 +89,7 @@
   };
   std::map<planning::Offer, Refusal> refusals_;
   std::deque<std::pair<double, std::int64_t>> demands_;  // seen lately: when, and how many cores
-  RateBudget budget_;
+  TokenBucket budget_;
   std::uint64_t names_ = 0;
   std::uint64_t term_ = 0;
   double began_s_ = 0;
@@ -99,7 +101,7 @@
   bool listing_ = false;
   bool releasing_ = false;
   bool catalog_busy_ = false;
-  std::function<void(cluster::Machine&, const std::string&)> on_gone_;
+  std::function<void(cluster::Machine&, const std::string&)> on_machine_removed_;
 };
 
 }  // namespace poppystile::coordination
--- a/src/coordination/journal/journal_writer.hpp
+++ b/src/coordination/journal/journal_writer.hpp
@@ -22,29 +22,29 @@
 
 namespace poppystile::coordination {
 
-class JournalDesk {
+class JournalWriter {
  public:
-  JournalDesk(transport::Runtime& runtime, StateStore& store, Leadership& leadership,
-              const protocol::Settings& settings);
+  JournalWriter(transport::Runtime& runtime, KeyValueClient& key_value_client,
+                LeaderElection& election, const protocol::Settings& settings);
 
   // Reads what the former leaders wrote; nothing when it cannot be understood. After that,
   // `wipe` starts an empty journal in its place.
-  void load(std::function<void(std::optional<storage::Ledger>)> done);
-  void wipe(const std::function<void()>& done);
-  void end();  // this node no longer leads
+  void load(std::function<void(std::optional<storage::ReplayedState>)> done);
+  void reset(const std::function<void()>& done);
+  void end_term();  // this node no longer leads
 
   // Returns the log_position up to which the journal must land for the entry to be durable.
   std::uint64_t append(storage::Json entry);
-  bool durable(std::uint64_t log_position) const { return log_position <= landed_; }
+  bool is_durable(std::uint64_t log_position) const { return log_position <= committed_position_; }
   // What one entry may carry at most, so that it fits a record.
   std::size_t max_entry_runs() const;
   std::size_t max_bitmap_tasks() const;
   void pump();  // called often while leading
   // Segments a successor would have to read after the snapshot.
   // Segments that may be written before the next snapshot counts.
-  std::uint64_t max_open_segments() const;
+  std::uint64_t max_segments_since_snapshot() const;
   std::uint64_t segments_since_snapshot() const { return next_number_ - head_.from; }
-  void on_landed(std::function<void()> handler) { on_landed_ = std::move(handler); }
+  void on_committed(std::function<void()> handler) { on_committed_ = std::move(handler); }
   // Asked for the entries that describe everything appended so far.
   void on_snapshot(std::function<std::vector<storage::Json>()> handler) {
     on_snapshot_ = std::move(handler);
@@ -58,39 +58,41 @@
     std::uint64_t log_position = 0;  // of a segment: everything up to here is in it
   };
 
-  void list(std::function<void(std::optional<storage::Ledger>)> done);
-  void look_for_old_form(const std::function<void(std::optional<storage::Ledger>)>& done);
-  std::vector<std::vector<std::string>> grouped(const std::vector<storage::Json>& entries) const;
-  void cut();
-  void consider_snapshot();
-  void make_batch();
+  void list(std::function<void(std::optional<storage::ReplayedState>)> done);
+  void check_for_legacy_records(
+      const std::function<void(std::optional<storage::ReplayedState>)>& done);
+  std::vector<std::vector<std::string>> group_by_record_size(
+      const std::vector<storage::Json>& entries) const;
+  void seal_segments();
+  void maybe_start_snapshot();
+  void fill_batch();
   void send();
-  void settled(const TransactionResult& result);
-  void verify();
-  std::size_t snapshot_parts_a_write() const;
-  void landed(std::uint64_t revision);
+  void on_write_result(const TransactionResult& result);
+  void verify_batch_committed();
+  std::size_t snapshot_chunks_per_write() const;
+  void commit_batch(std::uint64_t revision);
   void later(std::function<void()> action);
 
   transport::Runtime& runtime_;
-  StateStore& store_;
-  Leadership& leadership_;
+  KeyValueClient& key_value_client_;
+  LeaderElection& election_;
   const protocol::Settings& settings_;
   std::uint64_t term_ = 0;
   bool open_ = false;
   std::unordered_map<std::string, std::uint64_t> versions_;  // of all keys of the journal
   std::vector<storage::Json> pending_;
-  std::uint64_t appended_ = 0, landed_ = 0;  // marks
+  std::uint64_t appended_position_ = 0, committed_position_ = 0;  // marks
   std::uint64_t next_number_ = 1;
-  std::deque<Record> segments_;  // cut, not in a batch yet
-  std::deque<Record> parts_;     // of the snapshot under way
-  std::vector<Record> batch_;    // in a transaction, or to be sent again
+  std::deque<Record> segments_;         // cut, not in a batch yet
+  std::deque<Record> snapshot_chunks_;  // of the snapshot under way
+  std::vector<Record> batch_;           // in a transaction, or to be sent again
   storage::JournalHead head_;
   std::optional<storage::JournalHead> next_head_;  // of the snapshot under way
   std::size_t snapshot_bytes_ = 0;                 // of the newest snapshot
-  std::size_t bytes_since_ = 0;                    // of segments since it
-  bool busy_ = false;
+  std::size_t segment_bytes_since_snapshot_ = 0;   // of segments since it
+  bool write_in_flight_ = false;
   double send_at_s_ = 0;
-  std::function<void()> on_landed_;
+  std::function<void()> on_committed_;
   std::function<std::vector<storage::Json>()> on_snapshot_;
 };
 
--- a/src/coordination/leader/heartbeat_handler.hpp
+++ b/src/coordination/leader/heartbeat_handler.hpp
@@ -21,62 +21,65 @@
 
 namespace poppystile::coordination {
 
-class ReportHandler {
+class HeartbeatHandler {
  public:
   /// `request_plan` is called when tasks may be placed that could not be before.
-  ReportHandler(transport::Runtime& runtime, cluster::Model& model, Leadership& leadership,
-                JournalDesk& journal, CloudDesk& cloud, JobFinalizer& finalizer,
-                const protocol::Settings& settings, std::function<void()> request_plan)
+  HeartbeatHandler(transport::Runtime& runtime, cluster::ClusterState& cluster_state,
+                   LeaderElection& election, JournalWriter& journal, FleetManager& fleet,
+                   JobFinalizer& finalizer, const protocol::Settings& settings,
+                   std::function<void()> request_plan)
       : runtime_(runtime),
-        model_(model),
-        leadership_(leadership),
+        cluster_state_(cluster_state),
+        election_(election),
         journal_(journal),
-        cloud_(cloud),
+        fleet_(fleet),
         finalizer_(finalizer),
         settings_(settings),
         gangs_(settings),
         request_plan_(std::move(request_plan)) {}
 
   /// The machine that sent the report, taken in if it may be; null if not.
-  cluster::Machine* known_machine(const protocol::Report& report);
+  cluster::Machine* find_or_adopt_machine(const protocol::Heartbeat& heartbeat);
   /// Takes in a report that is newer than all before it.
-  void reconcile(cluster::Machine& machine, const protocol::Report& report);
+  void reconcile(cluster::Machine& machine, const protocol::Heartbeat& heartbeat);
   /// Stops, and leave to forget what has exited.
   std::vector<protocol::Command> commands_for(cluster::Machine& machine,
-                                              const protocol::Report& report);
+                                              const protocol::Heartbeat& heartbeat);
   /// Counts sessions that end without showing a start that was sent.
-  void judge_session(cluster::Machine& machine);
+  void evaluate_incarnation(cluster::Machine& machine);
   /// Everything on the machine is proven to be gone.
-  void end_all(cluster::Machine& machine, const std::string& why);
+  void evict_all(cluster::Machine& machine, const std::string& why);
 
   /// Stops the task; of a gang all of them together.
   void stop_task(cluster::Placement& placement);
   /// Stops all tasks of a job that is cancelled.
-  void stop_all(const std::string& job);
+  void stop_job(const std::string& job);
   /// Gives up gangs whose lost tasks were not replaced in time.
   void check_assembly(cluster::Job& gang) { gangs_.check_assembly(gang, runtime_.now_s()); }
 
  private:
-  void new_session(cluster::Machine& machine, std::uint64_t session);
-  void observe(cluster::Machine& machine, cluster::Placement& placement,
-               const protocol::ReportedTask& seen);
-  void judge_unshown(cluster::Machine& machine, const protocol::Report& report);
-  void exited(cluster::Machine& machine, cluster::Placement& placement, protocol::ExitCause cause);
-  void gang_done(cluster::Machine& machine, cluster::Placement& placement, cluster::Job& gang);
-  void failed(cluster::Machine& machine, const cluster::Placement& placement,
-              protocol::ExitCause cause);
+  void begin_incarnation(cluster::Machine& machine, std::uint64_t incarnation);
+  void reconcile_task(cluster::Machine& machine, cluster::Placement& placement,
+                      const protocol::ReportedTask& seen);
+  void expire_unacknowledged_starts(cluster::Machine& machine,
+                                    const protocol::Heartbeat& heartbeat);
+  void on_exited(cluster::Machine& machine, cluster::Placement& placement,
+                 protocol::ExitCause cause);
+  void finish_gang(cluster::Machine& machine, cluster::Placement& placement, cluster::Job& gang);
+  void on_failed(cluster::Machine& machine, const cluster::Placement& placement,
+                 protocol::ExitCause cause);
   /// Seconds that a task which is being stopped has to save; 0 where nothing can be saved.
   double stop_grace_s(const cluster::Job* job) const;
-  void suspect(cluster::Machine& machine, const std::string& why);
-  void note_image(cluster::Machine& machine, const cluster::Job& job);
-  void end(cluster::Machine& machine, cluster::Placement& placement);
-  static void drop_ended(cluster::Machine& machine);
+  void mark_unresponsive(cluster::Machine& machine, const std::string& why);
+  void record_cached_image(cluster::Machine& machine, const cluster::Job& job);
+  void remove_placement(cluster::Machine& machine, cluster::Placement& placement);
+  static void erase_removed_placements(cluster::Machine& machine);
 
   transport::Runtime& runtime_;
-  cluster::Model& model_;
-  Leadership& leadership_;
-  JournalDesk& journal_;
-  CloudDesk& cloud_;
+  cluster::ClusterState& cluster_state_;
+  LeaderElection& election_;
+  JournalWriter& journal_;
+  FleetManager& fleet_;
   JobFinalizer& finalizer_;
   const protocol::Settings& settings_;
   GangTracker gangs_;
--- a/src/coordination/leader/job_finalizer.cpp
+++ b/src/coordination/leader/job_finalizer.cpp
@@ -17,39 +17,39 @@
   due_.clear();
 }
 
-void JobFinalizer::consider(const std::string& id, const Job& job) {
+void JobFinalizer::enqueue_if_final(const std::string& id, const Job& job) {
   if (job.record.cancelled ? job.placements.empty() : job.all_finished()) due_.insert(id);
 }
 
 void JobFinalizer::pump() {
   const double now = runtime_.now_s();
   if (writing_ || now < write_at_s_) return;
-  write_at_s_ = now + constants::write_pass_s;
-  if (now - swept_s_ > constants::close_sweep_s) {
+  write_at_s_ = now + constants::finalize_interval_s;
+  if (now - swept_s_ > constants::finalize_sweep_s) {
     swept_s_ = now;
-    for (const auto& [id, job] : model_.jobs) consider(id, job);
+    for (const auto& [id, job] : cluster_state_.jobs) enqueue_if_final(id, job);
   }
   protocol::Transaction transaction;
   const std::vector<std::string> jobs = take_due(transaction);
   if (jobs.empty()) return;
   writing_ = true;
-  store_.transact(transaction, Urgency::closing,
-                  [this, term = term_, jobs](const TransactionResult& result) {
-                    if (term == term_) settled(jobs, result);
-                  });
+  key_value_client_.compare_and_swap(transaction, RequestPriority::finalize,
+                                     [this, term = term_, jobs](const TransactionResult& result) {
+                                       if (term == term_) on_write_result(jobs, result);
+                                     });
 }
 
 std::vector<std::string> JobFinalizer::take_due(protocol::Transaction& transaction) {
   std::vector<std::string> jobs;
-  transaction.conditions.push_back(leadership_.fence());
+  transaction.conditions.push_back(election_.fence());
   while (!due_.empty() && transaction.changes.size() + 2 <= settings_.state_limits.max_changes()) {
     const std::string id = due_.extract(due_.begin()).value();
-    const Job* job = model_.job(id);
+    const Job* job = cluster_state_.job(id);
     if (job == nullptr) continue;
-    transaction.conditions.push_back({storage::over_key(id), 0});
+    transaction.conditions.push_back({storage::final_record_key(id), 0});
     transaction.conditions.push_back({storage::job_key(id), job->version});
     transaction.changes.push_back(
-        {storage::over_key(id), storage::encode_over(final_state(*job)).dump(), 0});
+        {storage::final_record_key(id), storage::encode_final_state(final_state(*job)).dump(), 0});
     transaction.changes.push_back({storage::job_key(id), std::nullopt, 0});
     jobs.push_back(id);
   }
@@ -60,32 +60,35 @@
   return job.record.cancelled ? JobState::cancelled : JobState::done;
 }
 
-void JobFinalizer::settled(const std::vector<std::string>& jobs, const TransactionResult& result) {
+void JobFinalizer::on_write_result(const std::vector<std::string>& jobs,
+                                   const TransactionResult& result) {
   writing_ = false;
-  if (result.outcome != Outcome::ok) {
-    if (!leadership_.deposed(result)) postpone(jobs, result);
+  if (result.outcome != CallStatus::ok) {
+    if (!election_.step_down_if_deposed(result)) retry_later(jobs, result);
     return;
   }
   for (const auto& id : jobs) {
-    const Job* job = model_.job(id);
+    const Job* job = cluster_state_.job(id);
     if (job == nullptr) continue;
     const JobState state = final_state(*job);
     spdlog::info("job over id={} state={}", id, protocol::state_word(state));
-    directory_.learn(storage::over_key(id), storage::encode_over(state), result.revision);
-    directory_.learn(storage::job_key(id), std::nullopt, result.revision);
+    shared_state_.apply_response(storage::final_record_key(id), storage::encode_final_state(state),
+                                 result.revision);
+    shared_state_.apply_response(storage::job_key(id), std::nullopt, result.revision);
   }
 }
 
 // The sweep brings back those that moved, once the watch has told what became of them.
-void JobFinalizer::postpone(const std::vector<std::string>& jobs, const TransactionResult& result) {
+void JobFinalizer::retry_later(const std::vector<std::string>& jobs,
+                               const TransactionResult& result) {
   write_at_s_ = runtime_.now_s() + constants::state_retry_s;
   // Not the same again: the sweep gathers them anew.
-  if (result.outcome == Outcome::invalid) return;
+  if (result.outcome == CallStatus::invalid) return;
   for (const auto& id : jobs) {
-    const Job* job = model_.job(id);
+    const Job* job = cluster_state_.job(id);
     const bool moved = std::find(result.failed.begin(), result.failed.end(),
                                  storage::job_key(id)) != result.failed.end();
-    if (job != nullptr && !moved) consider(id, *job);
+    if (job != nullptr && !moved) enqueue_if_final(id, *job);
   }
 }
 
--- a/src/coordination/leader/job_finalizer.hpp
+++ b/src/coordination/leader/job_finalizer.hpp
@@ -19,19 +19,20 @@
 
 class JobFinalizer {
  public:
-  JobFinalizer(transport::Runtime& runtime, cluster::Model& model, Directory& directory,
-               StateStore& store, Leadership& leadership, const protocol::Settings& settings)
+  JobFinalizer(transport::Runtime& runtime, cluster::ClusterState& cluster_state,
+               SharedStateCache& shared_state, KeyValueClient& key_value_client,
+               LeaderElection& election, const protocol::Settings& settings)
       : runtime_(runtime),
-        model_(model),
-        directory_(directory),
-        store_(store),
-        leadership_(leadership),
+        cluster_state_(cluster_state),
+        shared_state_(shared_state),
+        key_value_client_(key_value_client),
+        election_(election),
         settings_(settings) {}
 
   /// Forgets everything: this node begins or ends to lead.
   void reset();
   /// Notes the job when its final record is due.
-  void consider(const std::string& id, const cluster::Job& job);
+  void enqueue_if_final(const std::string& id, const cluster::Job& job);
   void forget(const std::string& id) { due_.erase(id); }
   /// Called often while leading.
   void pump();
@@ -40,14 +41,14 @@
   /// As many of the due jobs as fit into one transaction.
   std::vector<std::string> take_due(protocol::Transaction& transaction);
   static protocol::JobState final_state(const cluster::Job& job);
-  void settled(const std::vector<std::string>& jobs, const TransactionResult& result);
-  void postpone(const std::vector<std::string>& jobs, const TransactionResult& result);
+  void on_write_result(const std::vector<std::string>& jobs, const TransactionResult& result);
+  void retry_later(const std::vector<std::string>& jobs, const TransactionResult& result);
 
   transport::Runtime& runtime_;
-  cluster::Model& model_;
-  Directory& directory_;
-  StateStore& store_;
-  Leadership& leadership_;
+  cluster::ClusterState& cluster_state_;
+  SharedStateCache& shared_state_;
+  KeyValueClient& key_value_client_;
+  LeaderElection& election_;
   const protocol::Settings& settings_;
   std::uint64_t term_ = 0;  // to drop answers to what was sent before a reset
   bool writing_ = false;
--- a/src/coordination/leader/leader.hpp
+++ b/src/coordination/leader/leader.hpp
@@ -23,54 +23,55 @@
 
 namespace poppystile::coordination {
 
-class Dispatcher {
+class Leader {
  public:
-  Dispatcher(transport::Runtime& runtime, Directory& directory, StateStore& store,
-             Leadership& leadership, JournalDesk& journal, CloudDesk& cloud,
-             const protocol::Settings& settings, const protocol::Properties& properties);
+  Leader(transport::Runtime& runtime, SharedStateCache& shared_state,
+         KeyValueClient& key_value_client, LeaderElection& election, JournalWriter& journal,
+         FleetManager& fleet, const protocol::Settings& settings,
+         const protocol::Properties& properties);
   void start();
 
   // Answers a report as the leader, at once or when a start on its way may be sent.
-  void report(const protocol::Report& report, transport::Respond respond);
+  void handle_heartbeat(const protocol::Heartbeat& heartbeat, transport::Respond respond);
   TaskCounts counts(const std::string& job) const;
   std::vector<std::string> job_ids(std::size_t most) const;
   bool ready() const { return ready_; }
   // Machines that this leader has heard and not given up.
-  std::size_t live_machines() const;
+  std::size_t responsive_machine_count() const;
 
  private:
   // An answer that waits for the journal.
   struct PendingResponse {
     transport::Respond respond;
     std::vector<protocol::Command> commands;
-    std::uint64_t session = 0, sequence = 0;  // of the report
-    std::uint64_t plan = 0;                   // the newest plan when the report came
+    std::uint64_t incarnation = 0, sequence = 0;  // of the report
+    std::uint64_t plan = 0;                       // the newest plan when the report came
     double until_s = 0;
   };
 
   // --- taking over ---
-  void won();
-  void lost();
+  void on_elected();
+  void on_deposed();
   void load(std::uint64_t term);
-  void build(const storage::Ledger& ledger);
-  void restore_machine(const std::string& id, const storage::LedgerMachine& known,
-                       const storage::Ledger& ledger);
+  void rebuild_cluster_state(const storage::ReplayedState& replayed);
+  void restore_machine(const std::string& id, const storage::ReplayedMachine& known,
+                       const storage::ReplayedState& replayed);
 
   // --- jobs ---
-  void job_changed(const std::string& id);
-  cluster::Job& add_job(const std::string& id, const KnownJob& known);
+  void on_job_changed(const std::string& id);
+  cluster::Job& add_job(const std::string& id, const CachedJob& known);
 
   // --- reports ---
   bool may_start(const cluster::Placement& placement) const;
-  bool start_under_way(const cluster::Machine& machine) const;
-  void answer_pending_of(const std::string& machine);
-  void answer_pending();
-  void send_answer(cluster::Machine& machine, PendingResponse answer);
+  bool has_start_in_flight(const cluster::Machine& machine) const;
+  void send_pending_response(const std::string& machine);
+  void send_due_responses();
+  void send_response(cluster::Machine& machine, PendingResponse answer);
 
   // --- passes ---
   void tick();
-  void watch_leases();
-  void move_replicas();
+  void check_leases();
+  void rebalance_replicas();
   // Says once when the settings leave fewer connections than there are machines.
   void check_fleet_size();
   void plan();
@@ -80,27 +81,28 @@
                         std::uint64_t plan_attempt, double now_s);
 
   transport::Runtime& runtime_;
-  Directory& directory_;
-  StateStore& store_;
-  Leadership& leadership_;
-  JournalDesk& journal_;
-  CloudDesk& cloud_;
+  SharedStateCache& shared_state_;
+  KeyValueClient& key_value_client_;
+  LeaderElection& election_;
+  JournalWriter& journal_;
+  FleetManager& fleet_;
   const protocol::Settings& settings_;
   const protocol::Properties& properties_;
   std::map<std::string, planning::GangWait> waiting_gangs_;  // of the newest plan
-  cluster::Model model_;
+  cluster::ClusterState cluster_state_;
   JobFinalizer finalizer_;
-  ReportHandler reports_;
+  HeartbeatHandler heartbeats_;
   std::uint64_t term_ = 0;  // counts takeovers, to drop what belongs to an earlier one
   bool ready_ = false;
-  bool quiet_ = false;  // nothing is known of what runs: workers are not answered
+  bool waiting_for_lease_expiry_ =
+      false;  // nothing is known of what runs: workers are not answered
   double ready_s_ = 0;
-  std::uint64_t plans_ = 0;  // tells whether a plan was made since a report came
+  std::uint64_t plan_count_ = 0;  // tells whether a plan was made since a report came
   cluster::AttemptNumbers attempts_;
-  bool plan_due_ = false;
-  double plan_at_s_ = 0;
-  double leases_s_ = 0;
-  double move_at_s_ = 0;
+  bool plan_is_due_ = false;
+  double next_plan_at_s_ = 0;
+  double last_lease_check_s_ = 0;
+  double next_move_at_s_ = 0;
   bool warned_of_size_ = false;
   std::int64_t least_waiting_cpus_ = std::numeric_limits<std::int64_t>::max();
   std::map<std::string, PendingResponse> pending_responses_;  // by machine
--- a/src/coordination/state/key_value_client.hpp
+++ b/src/coordination/state/key_value_client.hpp
@@ -16,10 +16,10 @@
 
 // Most urgent first. Renewals are never held back. The journal goes before users: it writes little
 // and seldom (see journal_rate_share), and everything that runs waits for it.
-enum class Urgency : std::uint8_t { lease, journal, user, closing, rest };
-inline constexpr std::size_t urgencies = 5;
+enum class RequestPriority : std::uint8_t { lease, journal, user, finalize, background };
+inline constexpr std::size_t priority_count = 5;
 
-enum class Outcome : std::uint8_t {
+enum class CallStatus : std::uint8_t {
   ok,
   conflict,   // a condition failed; nothing was changed
   throttled,  // 429: nothing was executed, the rate was too high
@@ -30,15 +30,15 @@
 };
 
 struct TransactionResult {
-  Outcome outcome = Outcome::unknown;
+  CallStatus outcome = CallStatus::unknown;
   std::uint64_t revision = 0;
   std::vector<std::string> failed;
 };
 
 // Spends a rate with bursts of one second's worth.
-class RateBudget {
+class TokenBucket {
  public:
-  RateBudget(double rate, double now_s) : rate_(rate), left_(rate), at_s_(now_s) {}
+  TokenBucket(double rate, double now_s) : rate_(rate), left_(rate), at_s_(now_s) {}
   void set_share(double share) { share_ = share; }
   // Whether `amount` may be spent now; `overdraw` lets urgent calls go into debt by a second's
   // worth of the whole rate.
@@ -54,15 +54,15 @@
   double at_s_;
 };
 
-class StateStore {
+class KeyValueClient {
  public:
-  StateStore(transport::Runtime& runtime, transport::HttpCaller& http,
-             const protocol::Settings& settings);
+  KeyValueClient(transport::Runtime& runtime, transport::HttpCaller& http,
+                 const protocol::Settings& settings);
 
   void set_share(double share);
   // Whether users' calls pile up faster than the limits let them out: then new ones are turned
   // away at once rather than answered too late.
-  bool crowded() const;
+  bool is_overloaded() const;
   // Steady time at which the newest answered call was sent; 0: never.
   double last_contact_s() const { return last_contact_s_; }
   // Steady time at which the call was sent whose answer is being handled: what it tells is that
@@ -71,21 +71,21 @@
   // Time of day of the newest answered call.
   double last_contact_wall_s() const { return last_contact_wall_s_; }
 
-  void get(const std::string& key, Urgency urgency,
-           std::function<void(Outcome, std::optional<protocol::Entry>)> done);
-  void list(const std::string& prefix, const std::string& after, Urgency urgency,
-            std::function<void(Outcome, protocol::EntryPage)> done);
+  void get(const std::string& key, RequestPriority urgency,
+           std::function<void(CallStatus, std::optional<protocol::Entry>)> done);
+  void list(const std::string& prefix, const std::string& after, RequestPriority urgency,
+            std::function<void(CallStatus, protocol::EntryPage)> done);
   // All pages of a prefix; the revision is the first page's.
-  void list_all(const std::string& prefix, Urgency urgency,
-                std::function<void(Outcome, protocol::EntryPage)> done);
-  void transact(const protocol::Transaction& transaction, Urgency urgency,
-                std::function<void(TransactionResult)> done);
-  void create_lease(int ttl_ms, std::function<void(Outcome, std::uint64_t)> done);
-  void renew_lease(std::uint64_t lease, std::function<void(Outcome)> done);
-  void drop_lease(std::uint64_t lease);
+  void list_all(const std::string& prefix, RequestPriority urgency,
+                std::function<void(CallStatus, protocol::EntryPage)> done);
+  void compare_and_swap(const protocol::Transaction& transaction, RequestPriority urgency,
+                        std::function<void(TransactionResult)> done);
+  void create_lease(int ttl_ms, std::function<void(CallStatus, std::uint64_t)> done);
+  void renew_lease(std::uint64_t lease, std::function<void(CallStatus)> done);
+  void revoke_lease(std::uint64_t lease);
   // Outcome conflict: `after` is too old, everything must be read again.
   void watch(const std::string& prefix, std::uint64_t after,
-             std::function<void(Outcome, protocol::WatchPage)> done);
+             std::function<void(CallStatus, protocol::WatchPage)> done);
 
  private:
   struct Call {
@@ -96,16 +96,16 @@
     std::function<void(transport::HttpResponse)> done;
   };
 
-  void enqueue(Urgency urgency, Call call);
+  void enqueue(RequestPriority urgency, Call call);
   void pump();
   void send(Call call);
 
   transport::Runtime& runtime_;
   transport::HttpCaller& http_;
   transport::Endpoint endpoint_;
-  RateBudget requests_;
-  RateBudget writes_;
-  std::array<std::deque<Call>, urgencies> waiting_;
+  TokenBucket requests_;
+  TokenBucket writes_;
+  std::array<std::deque<Call>, priority_count> waiting_;
   bool pump_set_ = false;
   double last_contact_s_ = 0;
   double last_contact_wall_s_ = 0;
--- a/src/coordination/state/shared_state_cache.cpp
+++ b/src/coordination/state/shared_state_cache.cpp
@@ -11,80 +11,81 @@
 namespace keys = storage::keys;
 using protocol::Json;
 
-Directory::Directory(transport::Runtime& runtime, StateStore& store)
-    : runtime_(runtime), store_(store) {}
+SharedStateCache::SharedStateCache(transport::Runtime& runtime, KeyValueClient& key_value_client)
+    : runtime_(runtime), key_value_client_(key_value_client) {}
 
-const KnownJob* Directory::job(const std::string& id) const {
+const CachedJob* SharedStateCache::job(const std::string& id) const {
   const auto it = jobs_.find(id);
   return it == jobs_.end() ? nullptr : &it->second;
 }
 
-std::optional<protocol::JobState> Directory::final_state(const std::string& id) const {
-  const auto it = over_.find(id);
-  if (it == over_.end()) return std::nullopt;
+std::optional<protocol::JobState> SharedStateCache::final_state(const std::string& id) const {
+  const auto it = final_states_.find(id);
+  if (it == final_states_.end()) return std::nullopt;
   return it->second;
 }
 
-void Directory::proven(double at_s, double at_wall_s) {
-  proven_s_ = std::max(proven_s_, at_s);
-  proven_wall_s_ = std::max(proven_wall_s_, at_wall_s);
+void SharedStateCache::note_fresh(double at_s, double at_wall_s) {
+  fresh_as_of_s_ = std::max(fresh_as_of_s_, at_s);
+  fresh_as_of_wall_s_ = std::max(fresh_as_of_wall_s_, at_wall_s);
 }
 
-void Directory::load() {
+void SharedStateCache::load() {
   const double asked = runtime_.now_s();
   const double asked_wall = runtime_.wall_s();
-  store_.list_all(keys::shared, Urgency::user,
-                  [this, asked, asked_wall](Outcome outcome, const protocol::EntryPage& all) {
-                    if (outcome != Outcome::ok) {
-                      runtime_.after(constants::state_retry_s, [this] { load(); });
-                      return;
-                    }
-                    // After a gap in the watch, what is not listed any more has been deleted
-                    // meanwhile.
-                    std::map<std::string, bool> listed;
-                    for (const auto& each : all.entries) listed[each.key] = true;
-                    std::vector<std::string> vanished;
-                    for (const auto& [id, known] : jobs_)
-                      if (!listed.contains(storage::job_key(id)) && known.version <= all.revision)
-                        vanished.push_back(id);
-                    for (const auto& each : all.entries) apply(each.key, each.value, each.version);
-                    for (const auto& id : vanished) apply_job(id, std::nullopt, all.revision);
-                    if (!listed.contains(keys::leader))
-                      apply(keys::leader, std::nullopt, all.revision);
-                    if (!loaded_)
-                      spdlog::info("directory loaded jobs={} over={}", jobs_.size(), over_.size());
-                    loaded_ = true;
-                    revision_ = std::max(revision_, all.revision);
-                    proven(asked, asked_wall);
-                    if (on_leader_) on_leader_();
-                    follow(all.revision);
-                  });
+  key_value_client_.list_all(
+      keys::shared, RequestPriority::user,
+      [this, asked, asked_wall](CallStatus outcome, const protocol::EntryPage& all) {
+        if (outcome != CallStatus::ok) {
+          runtime_.after(constants::state_retry_s, [this] { load(); });
+          return;
+        }
+        // After a gap in the watch, what is not listed any more has been deleted
+        // meanwhile.
+        std::map<std::string, bool> listed;
+        for (const auto& each : all.entries) listed[each.key] = true;
+        std::vector<std::string> vanished;
+        for (const auto& [id, known] : jobs_)
+          if (!listed.contains(storage::job_key(id)) && known.version <= all.revision)
+            vanished.push_back(id);
+        for (const auto& each : all.entries) apply(each.key, each.value, each.version);
+        for (const auto& id : vanished) apply_job(id, std::nullopt, all.revision);
+        if (!listed.contains(keys::leader)) apply(keys::leader, std::nullopt, all.revision);
+        if (!loaded_)
+          spdlog::info("directory loaded jobs={} over={}", jobs_.size(), final_states_.size());
+        loaded_ = true;
+        revision_ = std::max(revision_, all.revision);
+        note_fresh(asked, asked_wall);
+        if (on_leader_) on_leader_();
+        follow(all.revision);
+      });
 }
 
-void Directory::follow(std::uint64_t after) {
+void SharedStateCache::follow(std::uint64_t after) {
   const double asked = runtime_.now_s();
   const double asked_wall = runtime_.wall_s();
-  store_.watch(keys::shared, after,
-               [this, after, asked, asked_wall](Outcome outcome, const protocol::WatchPage& page) {
-                 if (outcome == Outcome::conflict) return load();
-                 if (outcome != Outcome::ok) {
-                   runtime_.after(constants::state_retry_s, [this, after] { follow(after); });
-                   return;
-                 }
-                 for (const auto& each : page.events) apply(each.key, each.value, each.version);
-                 revision_ = std::max(revision_, page.revision);
-                 proven(asked, asked_wall);
-                 follow(std::max(after, page.revision));
-               });
+  key_value_client_.watch(
+      keys::shared, after,
+      [this, after, asked, asked_wall](CallStatus outcome, const protocol::WatchPage& page) {
+        if (outcome == CallStatus::conflict) return load();
+        if (outcome != CallStatus::ok) {
+          runtime_.after(constants::state_retry_s, [this, after] { follow(after); });
+          return;
+        }
+        for (const auto& each : page.events) apply(each.key, each.value, each.version);
+        revision_ = std::max(revision_, page.revision);
+        note_fresh(asked, asked_wall);
+        follow(std::max(after, page.revision));
+      });
 }
 
-void Directory::learn(const std::string& key, const std::optional<Json>& value,
-                      std::uint64_t version) {
+void SharedStateCache::apply_response(const std::string& key, const std::optional<Json>& value,
+                                      std::uint64_t version) {
   apply(key, value, version);
 }
 
-void Directory::apply(const std::string& key, const std::optional<Json>& value,
-                      std::uint64_t version) {
+void SharedStateCache::apply(const std::string& key, const std::optional<Json>& value,
+                             std::uint64_t version) {
   try {
     if (key.starts_with(keys::jobs)) {
       apply_job(key.substr(keys::jobs.size()), value, version);
@@ -92,13 +93,13 @@
       // Final: whatever is written there is never changed or removed.
       const std::string id = key.substr(keys::over.size());
       if (!value) return;
-      over_.emplace(id, storage::decode_over(*value));
+      final_states_.emplace(id, storage::decode_final_state(*value));
       cancelled_.erase(id);
     } else if (key == keys::leader) {
-      if (version < leader_seen_) return;
-      leader_seen_ = version;
+      if (version < leader_version_) return;
+      leader_version_ = version;
       leader_.reset();
-      if (value) leader_ = KnownLeader{storage::decode_leader(*value), version};
+      if (value) leader_ = CachedLeader{storage::decode_leader(*value), version};
       if (loaded_ && on_leader_) on_leader_();
     } else if (key == keys::token && value && version > token_version_) {
       token_ = storage::decode_token(*value);
@@ -112,14 +113,14 @@
   }
 }
 
-void Directory::apply_job(const std::string& id, const std::optional<Json>& value,
-                          std::uint64_t version) {
+void SharedStateCache::apply_job(const std::string& id, const std::optional<Json>& value,
+                                 std::uint64_t version) {
   const auto known = jobs_.find(id);
   if (known != jobs_.end() && version <= known->second.version) return;
   if (value) {
     // A record read long ago must not bring back a job that is over.
-    if (over_.contains(id)) return;
-    KnownJob job{storage::decode_job(*value), version};
+    if (final_states_.contains(id)) return;
+    CachedJob job{storage::decode_job(*value), version};
     // A cancellation is for good: an older record that comes after a sibling told of it, or in the
     // listing after a gap, must not undo it.
     if (cancelled_.contains(id)) job.record.cancelled = true;
@@ -133,8 +134,8 @@
   if (on_job_) on_job_(id);
 }
 
-void Directory::learn_cancelled(const std::string& id) {
-  if (over_.contains(id) || !cancelled_.insert(id).second) return;
+void SharedStateCache::apply_cancellation(const std::string& id) {
+  if (final_states_.contains(id) || !cancelled_.insert(id).second) return;
   const auto known = jobs_.find(id);
   if (known == jobs_.end()) return;
   known->second.record.cancelled = true;
--- a/src/coordination/state/shared_state_cache.hpp
+++ b/src/coordination/state/shared_state_cache.hpp
@@ -15,19 +15,19 @@
 
 namespace poppystile::coordination {
 
-struct KnownJob {
+struct CachedJob {
   storage::JobRecord record;
   std::uint64_t version = 0;
 };
 
-struct KnownLeader {
+struct CachedLeader {
   storage::LeaderRecord record;
   std::uint64_t version = 0;
 };
 
-class Directory {
+class SharedStateCache {
  public:
-  Directory(transport::Runtime& runtime, StateStore& store);
+  SharedStateCache(transport::Runtime& runtime, KeyValueClient& key_value_client);
   void start() { load(); }
 
   bool loaded() const { return loaded_; }
@@ -35,48 +35,48 @@
   std::uint64_t revision() const { return revision_; }
   // Steady time before which nothing was committed that is not taken in: when the newest listing or
   // watch that was answered was asked for. 0: not loaded.
-  double proven_s() const { return proven_s_; }
+  double fresh_as_of_s() const { return fresh_as_of_s_; }
   // Time of day of the same.
-  double proven_wall_s() const { return proven_wall_s_; }
-  const std::map<std::string, KnownJob>& jobs() const { return jobs_; }
-  const KnownJob* job(const std::string& id) const;
+  double fresh_as_of_wall_s() const { return fresh_as_of_wall_s_; }
+  const std::map<std::string, CachedJob>& jobs() const { return jobs_; }
+  const CachedJob* job(const std::string& id) const;
   std::optional<protocol::JobState> final_state(const std::string& id) const;
   // Jobs known to be cancelled and not to be over.
   const std::set<std::string>& cancelled() const { return cancelled_; }
-  const std::optional<KnownLeader>& leader() const { return leader_; }
+  const std::optional<CachedLeader>& leader() const { return leader_; }
   std::uint64_t token() const { return token_; }
   std::uint64_t token_version() const { return token_version_; }
   const std::vector<protocol::MachineType>& types() const { return types_; }
   std::uint64_t catalog_version() const { return catalog_version_; }
 
   // Takes what an answer of the state service told, ahead of the watch.
-  void learn(const std::string& key, const std::optional<protocol::Json>& value,
-             std::uint64_t version);
+  void apply_response(const std::string& key, const std::optional<protocol::Json>& value,
+                      std::uint64_t version);
   // A sibling's directory shows the job as cancelled, which is for good; our own may get there
   // later.
-  void learn_cancelled(const std::string& id);
+  void apply_cancellation(const std::string& id);
   void on_job(std::function<void(const std::string& id)> handler) { on_job_ = std::move(handler); }
   void on_leader(std::function<void()> handler) { on_leader_ = std::move(handler); }
 
  private:
   void load();
   void follow(std::uint64_t after);
-  void proven(double at_s, double at_wall_s);
+  void note_fresh(double at_s, double at_wall_s);
   void apply(const std::string& key, const std::optional<protocol::Json>& value,
              std::uint64_t version);
   void apply_job(const std::string& id, const std::optional<protocol::Json>& value,
                  std::uint64_t version);
 
   transport::Runtime& runtime_;
-  StateStore& store_;
+  KeyValueClient& key_value_client_;
   bool loaded_ = false;
   std::uint64_t revision_ = 0;
-  double proven_s_ = 0, proven_wall_s_ = 0;
-  std::map<std::string, KnownJob> jobs_;
-  std::unordered_map<std::string, protocol::JobState> over_;
+  double fresh_as_of_s_ = 0, fresh_as_of_wall_s_ = 0;
+  std::map<std::string, CachedJob> jobs_;
+  std::unordered_map<std::string, protocol::JobState> final_states_;
   std::set<std::string> cancelled_;
-  std::optional<KnownLeader> leader_;
-  std::uint64_t leader_seen_ = 0;  // newest revision heard of the leader's key
+  std::optional<CachedLeader> leader_;
+  std::uint64_t leader_version_ = 0;  // newest revision heard of the leader's key
   std::uint64_t token_ = 0;
   std::uint64_t token_version_ = 0;
   std::vector<protocol::MachineType> types_;
--- a/src/planning/array_batches.cpp
+++ b/src/planning/array_batches.cpp
@@ -16,7 +16,7 @@
 std::uint32_t unplaced(const Job& job, const std::map<std::string, std::uint32_t>& placed) {
   const auto found = placed.find(job.spec().id);
   const std::uint32_t planned = found == placed.end() ? 0 : found->second;
-  return job.to_try() - std::min(job.to_try(), planned);
+  return job.schedulable_tasks() - std::min(job.schedulable_tasks(), planned);
 }
 
 }  // namespace
@@ -81,8 +81,8 @@
   // Jobs enter by their order within their team's limit.
   const auto most =
       static_cast<std::uint32_t>(std::min<std::int64_t>(abreast_now, constants::max_tasks));
-  out.count =
-      std::min({job.to_try() - std::min(job.to_try(), entered), draft_.team_room(spec), most});
+  out.count = std::min({job.schedulable_tasks() - std::min(job.schedulable_tasks(), entered),
+                        draft_.team_room(spec), most});
   if (order_.is_starved(job)) {
     const std::uint32_t part = spec.tasks / constants::starved_part + 1;
     out.count = std::min(out.count, part - std::min(part, entered));
--- a/src/planning/autoscaler/autoscaler.cpp
+++ b/src/planning/autoscaler/autoscaler.cpp
@@ -12,9 +12,9 @@
 
 namespace poppystile::planning {
 
+using cluster::ClusterState;
 using cluster::Job;
 using cluster::Machine;
-using cluster::Model;
 using protocol::JobKind;
 using protocol::JobSpec;
 using protocol::MachineType;
@@ -32,8 +32,9 @@
 
 class Sizing {
  public:
-  Sizing(const Model& model, const FleetContext& context) : model_(model), context_(context) {
-    for (const auto& [id, machine] : model.machines) {
+  Sizing(const ClusterState& cluster_state, const ScalingContext& context)
+      : cluster_state_(cluster_state), context_(context) {
+    for (const auto& [id, machine] : cluster_state.machines) {
       demand_ += machine.used.cpus;
       if (is_overdue(machine)) ++overdue_[{machine.type, machine.zone, machine.spot}];
       if (!counts(machine)) continue;
@@ -45,13 +46,13 @@
                        services_on(machine)});
       ++present_[{machine.type, machine.zone, machine.spot}];
     }
-    for (const auto& each : context.underway)
+    for (const auto& each : context.pending)
       for (int i = 0; i < each.count; ++i) add_bin(each.offer);
   }
 
-  FleetPlan run() {
+  ScalingPlan run() {
     std::vector<const Job*> jobs;
-    for (const auto& [id, job] : model_.jobs)
+    for (const auto& [id, job] : cluster_state_.jobs)
       if (!job.record.cancelled) jobs.push_back(&job);
     std::sort(jobs.begin(), jobs.end(), [](const Job* a, const Job* b) {
       if (a->spec().kind != b->spec().kind) return a->spec().kind == JobKind::service;
@@ -61,7 +62,7 @@
     note_team_use();
     for (const Job* job : jobs) {
       replicas_wait_ =
-          replicas_wait_ || (job->spec().kind == JobKind::service && job->to_try() > 0);
+          replicas_wait_ || (job->spec().kind == JobKind::service && job->schedulable_tasks() > 0);
       if (job->is_gang()) {
         pack_gang(job->spec(), wanted(*job), Need::waiting);
       } else {
@@ -70,18 +71,18 @@
     }
     pack_reserve(jobs);
     pack_gang_reserve();
-    FleetPlan plan;
+    ScalingPlan plan;
     plan.demand_cpus = demand_;
-    plan.undrain = draining_for(jobs);
-    if (!plan.undrain.empty()) return plan;
+    plan.uncordon = draining_for(jobs);
+    if (!plan.uncordon.empty()) return plan;
     for (const auto& [offer, count] : rentals_)
-      plan.hire.push_back({offer, std::min(count, constants::max_rented_machines)});
-    std::stable_sort(plan.hire.begin(), plan.hire.end(),
+      plan.rent.push_back({offer, std::min(count, constants::max_rented_machines)});
+    std::stable_sort(plan.rent.begin(), plan.rent.end(),
                      [](const auto& a, const auto& b) { return a.count > b.count; });
-    for (const auto& [id, machine] : model_.machines)
+    for (const auto& [id, machine] : cluster_state_.machines)
       if (machine.draining && !machine.releasing && machine.placements.empty())
         plan.release.push_back(id);
-    if (plan.hire.empty()) choose_drains(plan);
+    if (plan.rent.empty()) choose_drains(plan);
     return plan;
   }
 
@@ -89,12 +90,12 @@
   // Whether a machine is there, or booting, to take work. One that is overdue may never come up:
   // what is needed is rented again meanwhile.
   bool counts(const Machine& machine) const {
-    return !machine.releasing && !machine.recalled && !machine.quarantined && !machine.lost &&
-           !machine.suspect && !is_overdue(machine);
+    return !machine.releasing && !machine.preemption_noticed && !machine.quarantined &&
+           !machine.lease_expired && !machine.is_unresponsive && !is_overdue(machine);
   }
 
   bool is_overdue(const Machine& machine) const {
-    return machine.session == 0 && machine.boot_s > 0 &&
+    return machine.incarnation == 0 && machine.boot_s > 0 &&
            context_.now_wall_s - machine.rented_wall_s >
                constants::boot_latest_share * machine.boot_s;
   }
@@ -122,8 +123,8 @@
 
   void note_team_use() {
     for (const auto& team : *context_.teams) {
-      const auto use = model_.teams.find(team.name);
-      const auto used = use == model_.teams.end() ? 0 : use->second.used.cpus;
+      const auto use = cluster_state_.teams.find(team.name);
+      const auto used = use == cluster_state_.teams.end() ? 0 : use->second.used.cpus;
       team_left_[team.name] =
           team.cpus_max > 0 ? std::llround(team.cpus_max * 1000) - used : std::int64_t{1} << 60;
     }
@@ -133,12 +134,12 @@
   // are wanted abreast as finish the work within the time that is left.
   std::uint32_t wanted(const Job& job) const {
     const JobSpec& spec = job.spec();
-    if (spec.kind != JobKind::array) return job.to_try();
+    if (spec.kind != JobKind::array) return job.schedulable_tasks();
     const double expected = believed_run_s(spec);
     const double age = context_.now_wall_s - job.record.accepted_wall_s;
     const double left = spec.deadline_s ? *spec.deadline_s - age : 3 * expected;
     const double waves = std::clamp(left / expected, 1.0, 4.0);
-    return static_cast<std::uint32_t>(std::ceil(job.to_try() / waves));
+    return static_cast<std::uint32_t>(std::ceil(job.schedulable_tasks() / waves));
   }
 
   // Whose room is being looked for.
@@ -210,7 +211,7 @@
   std::vector<std::string> draining_for(const std::vector<const Job*>& jobs) const {
     std::vector<std::string> out;
     if (!draining_) return out;
-    for (const auto& [id, each] : model_.machines) {
+    for (const auto& [id, each] : cluster_state_.machines) {
       const Machine& machine = each;
       if (!machine.draining || !counts(machine)) continue;
       const auto takes = [&](const Job* job) {
@@ -290,15 +291,15 @@
 
   // Room for the next gang of each class that came lately, as large as the largest of them.
   void pack_gang_reserve() {
-    for (const auto& [name, recent] : model_.recent_gangs)
+    for (const auto& [name, recent] : cluster_state_.recent_gangs)
       if (context_.now_wall_s - recent.seen_wall_s < constants::gang_ready_s)
         pack_gang(recent.largest, recent.largest.tasks, Need::reserve);
   }
 
   // The job of a replica that is there; nothing for an array's task or what has exited.
   const JobSpec* service_of(const cluster::Placement& placement) const {
-    const auto job = model_.jobs.find(placement.job);
-    if (placement.phase == cluster::PlacementPhase::exited || job == model_.jobs.end() ||
+    const auto job = cluster_state_.jobs.find(placement.job);
+    if (placement.phase == cluster::PlacementPhase::exited || job == cluster_state_.jobs.end() ||
         job->second.spec().kind != JobKind::service)
       return nullptr;
     return &job->second.spec();
@@ -320,7 +321,7 @@
 
   // What exceeds the highest demand of late: machines without services first, the dearest of
   // them; then those whose few services fit elsewhere. They run empty and are given back.
-  void choose_drains(FleetPlan& plan) {
+  void choose_drains(ScalingPlan& plan) {
     struct Candidate {
       Bin* bin;
       std::int64_t services;
@@ -332,7 +333,7 @@
       if (bin.machine == nullptr) continue;
       supply += bin.machine->size.cpus;
       // Room that the packing has used is spoken for.
-      if (!bin.machine->heard || bin.room.cpus != bin.machine->room().cpus) continue;
+      if (!bin.machine->has_reported || bin.room.cpus != bin.machine->room().cpus) continue;
       candidates.push_back({&bin, bin.services, price_per_cpu(*bin.machine)});
     }
     std::stable_sort(candidates.begin(), candidates.end(), [](const auto& a, const auto& b) {
@@ -369,7 +370,7 @@
       if (service == nullptr) continue;
       const JobSpec& spec = *service;
       const auto to = std::find_if(bins_.begin(), bins_.end(), [&](const Bin& bin) {
-        return &bin != &from && bin.machine != nullptr && bin.machine->heard &&
+        return &bin != &from && bin.machine != nullptr && bin.machine->has_reported &&
                bin.machine->holds(spec.image) && bin.services > 0 && may_run_on(spec, bin.like) &&
                spec.each.fits(bin.room);
       });
@@ -383,8 +384,8 @@
     return true;
   }
 
-  const Model& model_;
-  const FleetContext& context_;
+  const ClusterState& cluster_state_;
+  const ScalingContext& context_;
   std::vector<Bin> bins_;
   std::map<Offer, int> present_;  // there or booting
   std::map<Offer, int> overdue_;  // booting for longer than usual
@@ -398,8 +399,8 @@
 
 }  // namespace
 
-FleetPlan plan_fleet(const Model& model, const FleetContext& context) {
-  return Sizing(model, context).run();
+ScalingPlan plan_scaling(const ClusterState& cluster_state, const ScalingContext& context) {
+  return Sizing(cluster_state, context).run();
 }
 
 }  // namespace poppystile::planning
--- a/src/planning/autoscaler/autoscaler.hpp
+++ b/src/planning/autoscaler/autoscaler.hpp
@@ -25,25 +25,25 @@
   int count = 0;
 };
 
-struct FleetPlan {
-  std::vector<WantedMachines> hire;
+struct ScalingPlan {
+  std::vector<WantedMachines> rent;
   std::vector<std::string> release;
-  std::vector<std::string> drain;    // take nothing more
-  std::vector<std::string> undrain;  // wanted after all
-  std::int64_t demand_cpus = 0;      // thousandths: in use, wanted now, and the reserve
+  std::vector<std::string> drain;     // take nothing more
+  std::vector<std::string> uncordon;  // wanted after all
+  std::int64_t demand_cpus = 0;       // thousandths: in use, wanted now, and the reserve
 };
 
-struct FleetContext {
+struct ScalingContext {
   double now_s = 0;
   double now_wall_s = 0;
   const std::vector<protocol::MachineType>* types = nullptr;
   const std::vector<protocol::TeamSettings>* teams = nullptr;
-  std::set<Offer> refused;               // asked lately and not to be had
-  std::vector<WantedMachines> underway;  // asked for, not answered yet
-  std::int64_t peak_cpus = 0;            // the highest demand of late
+  std::set<Offer> refused;              // asked lately and not to be had
+  std::vector<WantedMachines> pending;  // asked for, not answered yet
+  std::int64_t peak_cpus = 0;           // the highest demand of late
   double service_reserve = 0.1;
 };
 
-FleetPlan plan_fleet(const cluster::Model& model, const FleetContext& context);
+ScalingPlan plan_scaling(const cluster::ClusterState& cluster_state, const ScalingContext& context);
 
 }  // namespace poppystile::planning
--- a/src/planning/eligibility.cpp
+++ b/src/planning/eligibility.cpp
@@ -17,9 +17,9 @@
 }
 
 bool takes_tasks(const Machine& machine, double now_s) {
-  return machine.heard && machine.confirmed && !machine.suspect && !machine.late &&
-         !machine.releasing && !machine.draining && !machine.recalled && !machine.quarantined &&
-         machine.avoid_until_s <= now_s;
+  return machine.has_reported && machine.has_acknowledged_token && !machine.is_unresponsive &&
+         !machine.is_overdue && !machine.releasing && !machine.draining &&
+         !machine.preemption_noticed && !machine.quarantined && machine.avoid_until_s <= now_s;
 }
 
 double believed_run_s(const JobSpec& job) {
--- a/src/planning/gang_placement.cpp
+++ b/src/planning/gang_placement.cpp
@@ -33,7 +33,7 @@
   if (place_whole(job)) return;
   // A replacement must not wait for others' work to be stopped: the attempt would run out of time.
   if (!job.placements.empty()) return;
-  const bool within_limit = draft_.team_room(job.spec()) >= job.to_try();
+  const bool within_limit = draft_.team_room(job.spec()) >= job.schedulable_tasks();
   if (within_limit)
     for (const std::string& zone : zones_for(job.spec()))
       if (preemption_.make_room_for_gang(job, zone))
@@ -44,7 +44,7 @@
 
 bool GangPlacement::place_whole(const Job& job) {
   const JobSpec& spec = job.spec();
-  if (draft_.team_room(spec) < job.to_try()) return false;
+  if (draft_.team_room(spec) < job.schedulable_tasks()) return false;
   std::optional<Assignment> best;
   for (const std::string& zone : zones_for(spec)) {
     auto found = assign(job, zone);
@@ -86,7 +86,7 @@
                                                                const std::string& zone) {
   const JobSpec& spec = job.spec();
   Assignment out;
-  std::uint32_t left = job.to_try();
+  std::uint32_t left = job.schedulable_tasks();
   std::map<std::string, std::uint32_t> zone_room;
   for (MachineSlot* slot : candidates(job, zone)) {
     const std::string& where = slot->machine->zone;
@@ -110,7 +110,7 @@
 void GangPlacement::hold_room(const Job& job) {
   if (!may_hold(job)) return;
   const JobSpec& spec = job.spec();
-  const std::uint32_t count = job.to_try();
+  const std::uint32_t count = job.schedulable_tasks();
   std::string best_zone;
   std::uint32_t most_free = 0;
   bool found = false;
--- a/src/planning/job_order.cpp
+++ b/src/planning/job_order.cpp
@@ -9,8 +9,8 @@
 
 using cluster::Job;
 
-JobOrder::JobOrder(const cluster::Model& model, const PlanningContext& context)
-    : model_(model), context_(context) {
+JobOrder::JobOrder(const cluster::ClusterState& cluster_state, const PlanningContext& context)
+    : cluster_state_(cluster_state), context_(context) {
   find_guaranteed();
 }
 
@@ -59,7 +59,7 @@
 
 void JobOrder::find_guaranteed() {
   std::map<std::string, std::vector<const Job*>> by_team;
-  for (const auto& [id, job] : model_.jobs)
+  for (const auto& [id, job] : cluster_state_.jobs)
     if (!job.record.cancelled) by_team[job.spec().team].push_back(&job);
   for (const auto& team : *context_.teams) {
     auto& jobs = by_team[team.name];
--- a/src/planning/job_order.hpp
+++ b/src/planning/job_order.hpp
@@ -17,7 +17,7 @@
 
 class JobOrder {
  public:
-  JobOrder(const cluster::Model& model, const PlanningContext& context);
+  JobOrder(const cluster::ClusterState& cluster_state, const PlanningContext& context);
 
   /// Computes the key of an array; without it jobs compare by age.
   void add_array(const cluster::Job& job);
@@ -40,7 +40,7 @@
   SchedulingKey key_of(const cluster::Job& job) const;
   bool has_waited(const cluster::Job& job, double seconds) const;
 
-  const cluster::Model& model_;
+  const cluster::ClusterState& cluster_state_;
   const PlanningContext& context_;
   std::set<const cluster::Job*> guaranteed_;
   std::map<const cluster::Job*, SchedulingKey> keys_;
--- a/src/planning/plan_draft.cpp
+++ b/src/planning/plan_draft.cpp
@@ -19,21 +19,21 @@
   return std::find(fetching.begin(), fetching.end(), image) != fetching.end();
 }
 
-PlanDraft::PlanDraft(const cluster::Model& model, const PlanningContext& context)
-    : model_(model), context_(context) {
+PlanDraft::PlanDraft(const cluster::ClusterState& cluster_state, const PlanningContext& context)
+    : cluster_state_(cluster_state), context_(context) {
   for (const auto& team : *context.teams) {
     limits_[team.name] = {std::llround(team.cpus_max * 1000), std::llround(team.gpus_max * 1000),
                           0};
-    const auto use = model.teams.find(team.name);
-    if (use != model.teams.end()) used_[team.name] = use->second.used;
+    const auto use = cluster_state.teams.find(team.name);
+    if (use != cluster_state.teams.end()) used_[team.name] = use->second.used;
   }
 }
 
 void PlanDraft::add_slots() {
-  for (const auto& [id, machine] : model_.machines) {
+  for (const auto& [id, machine] : cluster_state_.machines) {
     if (takes_tasks(machine, context_.now_s)) {
       slots_.push_back(slot_of(machine));
-    } else if (machine.session == 0 && !machine.releasing && !machine.draining) {
+    } else if (machine.incarnation == 0 && !machine.releasing && !machine.draining) {
       add_booting(machine);
     }
   }
@@ -60,8 +60,8 @@
   for (const auto& placement : machine.placements) {
     if (placement.phase == PlacementPhase::exited) continue;
     if (placement.stopping) slot.stopping += placement.each;
-    const auto found = model_.jobs.find(placement.job);
-    const Job* job = found == model_.jobs.end() ? nullptr : &found->second;
+    const auto found = cluster_state_.jobs.find(placement.job);
+    const Job* job = found == cluster_state_.jobs.end() ? nullptr : &found->second;
     const bool service = job != nullptr && job->spec().kind == JobKind::service;
     if (job == nullptr || service) slot.for_arrays -= placement.each;
     if (service) ++replicas_by_zone_[job->spec().job_class][machine.zone];
@@ -76,8 +76,8 @@
 }
 
 double PlanDraft::remaining_load_s(const MachineSlot& slot, const Placement& placement) const {
-  const auto job = model_.jobs.find(placement.job);
-  if (placement.phase == PlacementPhase::exited || job == model_.jobs.end()) return 0;
+  const auto job = cluster_state_.jobs.find(placement.job);
+  if (placement.phase == PlacementPhase::exited || job == cluster_state_.jobs.end()) return 0;
   const JobSpec& spec = job->second.spec();
   if (spec.kind == JobKind::service) return 0;
   const auto abreast = spec.each.times_in(slot.for_arrays);
@@ -92,7 +92,7 @@
 std::map<std::string, std::uint32_t>& PlanDraft::tasks_by_zone(const JobSpec& job) {
   const auto [found, inserted] = tasks_by_zone_.try_emplace(job.id);
   if (inserted)
-    for (const auto& [index, machine] : model_.jobs.at(job.id).placements)
+    for (const auto& [index, machine] : cluster_state_.jobs.at(job.id).placements)
       ++found->second[machine->zone];
   return found->second;
 }
@@ -129,7 +129,8 @@
 bool PlanDraft::can_stop_together(const Job& gang) const {
   return std::all_of(gang.placements.begin(), gang.placements.end(), [](const auto& each) {
     const Machine& machine = *each.second;
-    return machine.heard && machine.confirmed && !machine.late && !machine.suspect;
+    return machine.has_reported && machine.has_acknowledged_token && !machine.is_overdue &&
+           !machine.is_unresponsive;
   });
 }
 
--- a/src/planning/plan_draft.hpp
+++ b/src/planning/plan_draft.hpp
@@ -31,7 +31,7 @@
 
 class PlanDraft {
  public:
-  PlanDraft(const cluster::Model& model, const PlanningContext& context);
+  PlanDraft(const cluster::ClusterState& cluster_state, const PlanningContext& context);
 
   /// Makes a slot of every machine that takes tasks. Called once, before anything is placed.
   void add_slots();
@@ -41,7 +41,7 @@
   std::vector<MachineSlot>& booting() { return booting_; }
   std::vector<MachineSlot>& slots() { return slots_; }
   const std::vector<MachineSlot>& slots() const { return slots_; }
-  const cluster::Model& model() const { return model_; }
+  const cluster::ClusterState& cluster_state() const { return cluster_state_; }
   const PlanningContext& context() const { return context_; }
 
   /// How many more tasks of the job its team's limit allows.
@@ -83,7 +83,7 @@
   double remaining_load_s(const MachineSlot& slot, const cluster::Placement& placement) const;
   std::map<std::string, std::uint32_t>& tasks_by_zone(const protocol::JobSpec& job);
 
-  const cluster::Model& model_;
+  const cluster::ClusterState& cluster_state_;
   const PlanningContext& context_;
   std::vector<MachineSlot> slots_;
   std::vector<MachineSlot> booting_;
--- a/src/planning/planner.cpp
+++ b/src/planning/planner.cpp
@@ -33,21 +33,23 @@
 };
 
 // Whole, or with tasks to be replaced before it has begun.
-bool may_be_placed(const cluster::Model& model, const Job& gang, const PlanningContext& context) {
+bool may_be_placed(const cluster::ClusterState& cluster_state, const Job& gang,
+                   const PlanningContext& context) {
   return gang.placements.empty() ||
-         model.may_replace_tasks(gang, context.now_s,
-                                 constants::gang_replace_share * context.gang_wait_s);
+         cluster_state.may_replace_tasks(gang, context.now_s,
+                                         constants::gang_replace_share * context.gang_wait_s);
 }
 
-WaitingJobs waiting_jobs(const cluster::Model& model, const JobOrder& order,
+WaitingJobs waiting_jobs(const cluster::ClusterState& cluster_state, const JobOrder& order,
                          const PlanningContext& context) {
   WaitingJobs out;
-  for (const auto& [id, job] : model.jobs) {
-    if (job.record.cancelled || job.to_try() == 0 || job.retry_at_s > context.now_s) continue;
+  for (const auto& [id, job] : cluster_state.jobs) {
+    if (job.record.cancelled || job.schedulable_tasks() == 0 || job.retry_at_s > context.now_s)
+      continue;
     if (job.spec().kind == JobKind::service) {
       out.services.push_back(&job);
     } else if (job.is_gang()) {
-      if (may_be_placed(model, job, context))
+      if (may_be_placed(cluster_state, job, context))
         out.gangs[static_cast<int>(job.spec().priority)].push_back(&job);
     } else if (order.is_starved(job)) {
       out.starved.push_back(&job);
@@ -72,11 +74,11 @@
   return "";
 }
 
-Plan make_plan(const cluster::Model& model, const PlanningContext& context) {
-  JobOrder order(model, context);
-  WaitingJobs waiting = waiting_jobs(model, order, context);
+Plan make_plan(const cluster::ClusterState& cluster_state, const PlanningContext& context) {
+  JobOrder order(cluster_state, context);
+  WaitingJobs waiting = waiting_jobs(cluster_state, order, context);
   if (waiting.empty()) return {};
-  PlanDraft draft(model, context);
+  PlanDraft draft(cluster_state, context);
   draft.add_slots();
   for (const auto& [priority, jobs] : waiting.arrays)
     for (const Job* job : jobs) order.add_array(*job);
--- a/src/planning/planner.hpp
+++ b/src/planning/planner.hpp
@@ -22,7 +22,7 @@
 };
 
 /// A task to be preempted.
-struct PlannedStop {
+struct PlannedPreemption {
   std::string machine;
   std::string job;
   std::uint32_t index = 0;
@@ -40,7 +40,7 @@
 /// What one planning pass decided, in the order in which it was decided.
 struct Plan {
   std::vector<PlannedPlacement> placements;
-  std::vector<PlannedStop> stops;
+  std::vector<PlannedPreemption> stops;
   std::map<std::string, GangWait> waiting_gangs;  // by job
 };
 
@@ -49,7 +49,7 @@
   double now_s = 0;  // steady
   const std::vector<protocol::TeamSettings>* teams = nullptr;
   LablWeights weights;
-  double report_s = 1;
+  double heartbeat_interval_s = 1;
   double now_wall_s = 0;
   const std::vector<protocol::FinishAim>* finish_aims = nullptr;
   double gang_wait_s = 0;  // for which workers wait until their gang is complete
@@ -57,6 +57,6 @@
 
 /// Plans all waiting jobs onto the machines that take tasks: services first, then arrays that have
 /// waited long, then the other arrays by priority.
-Plan make_plan(const cluster::Model& model, const PlanningContext& context);
+Plan make_plan(const cluster::ClusterState& cluster_state, const PlanningContext& context);
 
 }  // namespace poppystile::planning
--- a/src/planning/preemption.cpp
+++ b/src/planning/preemption.cpp
@@ -40,7 +40,7 @@
 bool Preemption::make_room_for_gang(const Job& waiting, const std::string& zone) {
   const JobSpec& job = waiting.spec();
   if (++searches_ > constants::max_looks_for_room) return false;
-  std::int64_t missing = waiting.to_try();
+  std::int64_t missing = waiting.schedulable_tasks();
   struct Use {
     MachineSlot* slot;
     std::int64_t tasks;
@@ -79,12 +79,12 @@
 }
 
 std::size_t Preemption::cost_of(const Placement& placement) const {
-  const Job& owner = draft_.model().jobs.at(placement.job);
+  const Job& owner = draft_.cluster_state().jobs.at(placement.job);
   return owner.is_gang() ? owner.placements.size() : 1;
 }
 
 void Preemption::stop(MachineSlot& slot, const Placement& placement) {
-  const Job& owner = draft_.model().jobs.at(placement.job);
+  const Job& owner = draft_.cluster_state().jobs.at(placement.job);
   if (!owner.is_gang()) {
     stopped_.insert(&placement);
     return draft_.stop(slot, placement);
@@ -122,7 +122,7 @@
 
 std::vector<const Placement*> Preemption::yielding_on(const MachineSlot& slot,
                                                       const Job& waiting) const {
-  const auto& jobs = draft_.model().jobs;
+  const auto& jobs = draft_.cluster_state().jobs;
   std::vector<const Placement*> candidates;
   for (const auto& placement : slot.machine->placements) {
     const auto owner = jobs.find(placement.job);
--- a/src/planning/service_placement.cpp
+++ b/src/planning/service_placement.cpp
@@ -12,7 +12,8 @@
 
 void ServicePlacement::place(const Job& job) {
   const JobSpec& spec = job.spec();
-  for (std::uint32_t left = std::min(job.to_try(), draft_.team_room(spec)); left > 0; --left) {
+  for (std::uint32_t left = std::min(job.schedulable_tasks(), draft_.team_room(spec)); left > 0;
+       --left) {
     MachineSlot* slot = best_of(draft_.slots(), spec);
     if (slot != nullptr) {
       if (!better_off_waiting(job, *slot)) draft_.commit(*slot, spec);
@@ -58,13 +59,14 @@
   const PlanningContext& context = draft_.context();
   const double arrays_share = static_cast<double>(slot.for_arrays.cpus) /
                               static_cast<double>(std::max<std::int64_t>(1, machine.size.cpus));
-  double delay = constants::pack_worth_reports * context.report_s * arrays_share;
-  delay += constants::zone_worth_reports * context.report_s *
+  double delay = constants::pack_worth_reports * context.heartbeat_interval_s * arrays_share;
+  delay += constants::zone_worth_reports * context.heartbeat_interval_s *
            draft_.class_share(job.job_class, machine.zone);
   // The start goes with the answer to its next report.
-  delay += slot.ready_in_s > 0 ? slot.ready_in_s + context.report_s
-                               : std::clamp(machine.heard_s + context.report_s - context.now_s, 0.0,
-                                            context.report_s);
+  delay += slot.ready_in_s > 0
+               ? slot.ready_in_s + context.heartbeat_interval_s
+               : std::clamp(machine.last_heartbeat_s + context.heartbeat_interval_s - context.now_s,
+                            0.0, context.heartbeat_interval_s);
   return delay + fetch_cost_s(job, slot);
 }
 
--- a/src/protocol/cloud_messages.cpp
+++ b/src/protocol/cloud_messages.cpp
@@ -38,14 +38,14 @@
   return {{"builds", std::move(list)}};
 }
 
-std::string encode_hire(const std::string& request, const std::string& type,
-                        const std::string& zone, bool spot, int count) {
+std::string encode_rental(const std::string& request, const std::string& type,
+                          const std::string& zone, bool spot, int count) {
   return Json{
       {"hire", request}, {"build", type}, {"yard", zone}, {"loaners", spot}, {"how_many", count}}
       .dump();
 }
 
-std::vector<std::string> parse_hired(const std::string& body) {
+std::vector<std::string> parse_rented(const std::string& body) {
   const Json root = parse_object(body);
   std::vector<std::string> out;
   for (const Json& each : need_list(root, "stiles")) out.push_back(as_text(each, "stiles"));
@@ -57,7 +57,7 @@
 }
 
 std::string list_path(const std::string& after) {
-  return std::string(hire_path) + "?from=" + after + "&page=500";
+  return std::string(rentals_path) + "?from=" + after + "&page=500";
 }
 
 MachineList parse_machine_list(const std::string& body) {
--- a/src/protocol/cloud_messages.hpp
+++ b/src/protocol/cloud_messages.hpp
@@ -41,14 +41,14 @@
 // All parsers throw DecodeError.
 std::vector<MachineType> parse_catalog(const Json& root);
 Json encode_catalog(const std::vector<MachineType>& types);
-std::string encode_hire(const std::string& request, const std::string& type,
-                        const std::string& zone, bool spot, int count);
-std::vector<std::string> parse_hired(const std::string& body);
+std::string encode_rental(const std::string& request, const std::string& type,
+                          const std::string& zone, bool spot, int count);
+std::vector<std::string> parse_rented(const std::string& body);
 std::string encode_release(const std::vector<std::string>& machines);
 MachineList parse_machine_list(const std::string& body);
 
 inline constexpr const char* catalog_path = "/catalog";
-inline constexpr const char* hire_path = "/machines";
+inline constexpr const char* rentals_path = "/machines";
 inline constexpr const char* release_path = "/machines/release";
 std::string list_path(const std::string& after);
 
--- a/src/protocol/peer_messages.cpp
+++ b/src/protocol/peer_messages.cpp
@@ -98,13 +98,13 @@
   push(root.get(), cbor_build_uint64(version));
   push(root.get(), text(status.name));
   push(root.get(), cbor_build_uint64(status.incarnation));
-  push(root.get(), cbor_build_float8(status.born_wall_s));
+  push(root.get(), cbor_build_float8(status.started_at_wall_s));
   push(root.get(), cbor_build_uint64(status.token));
-  push(root.get(), cbor_build_uint64(status.leading ? 1 : 0));
+  push(root.get(), cbor_build_uint64(status.is_leader ? 1 : 0));
   push(root.get(), cbor_build_float8(status.sent_wall_s));
   push(root.get(), cbor_build_float8(status.state_wall_s));
-  push(root.get(), cbor_build_float8(status.proven_wall_s));
-  push(root.get(), cbor_build_uint64(status.redirected_reports));
+  push(root.get(), cbor_build_float8(status.fresh_as_of_wall_s));
+  push(root.get(), cbor_build_uint64(status.redirected_heartbeats));
   cbor_item_t* counts = cbor_new_definite_array(status.counts.size() * 3);
   for (const auto& each : status.counts) {
     push(counts, text(each.job));
@@ -133,13 +133,13 @@
   PeerStatus out;
   out.name = reader.words();
   out.incarnation = reader.number();
-  out.born_wall_s = reader.real();
+  out.started_at_wall_s = reader.real();
   out.token = reader.number();
-  out.leading = reader.number() == 1;
+  out.is_leader = reader.number() == 1;
   out.sent_wall_s = reader.real();
   out.state_wall_s = reader.real();
-  out.proven_wall_s = reader.real();
-  out.redirected_reports = reader.number();
+  out.fresh_as_of_wall_s = reader.real();
+  out.redirected_heartbeats = reader.number();
   Item list = reader.next();
   Reader counts(list.get());
   if (!reader.good() || !counts.good() || counts.size() % 3 != 0) return std::nullopt;
--- a/src/protocol/peer_messages.hpp
+++ b/src/protocol/peer_messages.hpp
@@ -17,15 +17,15 @@
 struct PeerStatus {
   std::string name;
   std::uint64_t incarnation = 0;  // drawn when the sender's process began
-  double born_wall_s = 0;         // when that was, by the time of day
+  double started_at_wall_s = 0;   // when that was, by the time of day
   std::uint64_t token = 0;        // highest the sender knows of
-  bool leading = false;
+  bool is_leader = false;
   double sent_wall_s = 0;   // when this was said, by the time of day
   double state_wall_s = 0;  // when the state service last answered the sender
   // Whatever was committed before is in the sender's directory; 0 while that is not loaded.
-  double proven_wall_s = 0;
-  std::uint64_t redirected_reports = 0;  // workers' reports redirected since the frame before
-  std::vector<JobCounts> counts;         // only a leader's
+  double fresh_as_of_wall_s = 0;
+  std::uint64_t redirected_heartbeats = 0;  // workers' reports redirected since the frame before
+  std::vector<JobCounts> counts;            // only a leader's
   // Jobs that the sender knows to be cancelled and that are not over: all of them, or as many as
   // fit, and then the frame vouches for nothing.
   std::vector<std::string> cancelled;
--- a/src/protocol/properties.cpp
+++ b/src/protocol/properties.cpp
@@ -24,7 +24,7 @@
   double most;
 };
 
-const std::map<std::string, Rule>& rules() {
+const std::map<std::string, Rule>& invariants() {
   static const std::map<std::string, Rule> all = {
       {"fleet.idle-keep-s", {&Properties::idle_keep_s, 0, 3600}},
       {"fleet.service-reserve", {&Properties::service_reserve, 0, 2}},
@@ -52,7 +52,7 @@
 std::string nearest(const std::string& key) {
   std::string best;
   std::size_t least = ~std::size_t{0};
-  for (const auto& [name, rule] : rules()) {
+  for (const auto& [name, rule] : invariants()) {
     if (const auto d = distance(key, name); d < least) {
       least = d;
       best = name;
@@ -62,8 +62,8 @@
 }
 
 void apply(Properties& out, const std::string& key, const std::string& text) {
-  const auto rule = rules().find(key);
-  if (rule == rules().end())
+  const auto rule = invariants().find(key);
+  if (rule == invariants().end())
     throw DecodeError("unknown key " + key + ", the nearest is " + nearest(key));
   const auto& [field, least, most] = rule->second;
   double value = 0;
--- a/src/protocol/settings.cpp
+++ b/src/protocol/settings.cpp
@@ -84,7 +84,7 @@
 
 void parse_limits(const Json& given, Settings& out) {
   const Json& workers = need_section(given, "workers");
-  out.report_s = need_positive(workers, "report_s");
+  out.heartbeat_interval_s = need_positive(workers, "report_s");
   out.lease_s = need_positive(workers, "lease_s");
   out.cancel_s = need_positive(workers, "cancel_s");
   out.gang_times = parse_gang_times(workers);
@@ -104,12 +104,13 @@
   // A leader that is cut off has to fall silent early enough for leases to end by then.
   if (out.lease_s >= out.cancel_s)
     throw DecodeError("lease_s: expected less than cancel_s, got " + std::to_string(out.lease_s));
-  if (out.report_s >= out.lease_s)
-    throw DecodeError("report_s: expected less than lease_s, got " + std::to_string(out.report_s));
+  if (out.heartbeat_interval_s >= out.lease_s)
+    throw DecodeError("report_s: expected less than lease_s, got " +
+                      std::to_string(out.heartbeat_interval_s));
   // A final record is two changes: it replaces the job's.
   if (out.state_limits.txn_ops < constants::min_txn_ops)
     throw DecodeError("txn_ops: expected at least " + std::to_string(constants::min_txn_ops));
-  const auto least = constants::min_own_sockets + 2 * out.siblings.size() + 1;
+  const auto least = constants::min_own_sockets + 2 * out.peers.size() + 1;
   if (out.sockets < static_cast<double>(least))
     throw DecodeError("sockets: expected at least " + std::to_string(least) +
                       " for the calls to other services, the siblings and one worker");
@@ -135,7 +136,7 @@
   out.listen = need_endpoint(root, "bind");
   out.peer_listen = need_endpoint(root, "peer_bind");
   for (const Json& each : need_list(root, "siblings"))
-    out.siblings.push_back(
+    out.peers.push_back(
         {need_text(each, "member"), need_text(each, "site"), need_endpoint(each, "peer_addr")});
   const Json& services = need_section(root, "services");
   out.cloud = need_endpoint(services, "cloud");
--- a/src/protocol/settings.hpp
+++ b/src/protocol/settings.hpp
@@ -10,7 +10,7 @@
 
 namespace poppystile::protocol {
 
-struct Sibling {
+struct PeerSettings {
   std::string name;
   std::string zone;
   transport::Endpoint address;
@@ -38,13 +38,13 @@
   std::string zone;
   transport::Endpoint listen;
   transport::Endpoint peer_listen;
-  std::vector<Sibling> siblings;
+  std::vector<PeerSettings> peers;
   transport::Endpoint cloud;
   transport::Endpoint state;
   std::vector<std::string> zones;
   std::vector<TeamSettings> teams;
   std::vector<FinishAim> finish_aims;
-  double report_s = 1, lease_s = 10, cancel_s = 30;
+  double heartbeat_interval_s = 1, lease_s = 10, cancel_s = 30;
   std::optional<GangTimes> gang_times;  // without them no gang can be run
   StateLimits state_limits;             // the lower of the present and the coming ones
   double cloud_rps = 1, list_lag_s = 5;
--- a/src/protocol/state_messages.cpp
+++ b/src/protocol/state_messages.cpp
@@ -51,7 +51,7 @@
   return need_count(parse_object(body), "epoch");
 }
 
-std::vector<std::string> parse_failed(const std::string& body) {
+std::vector<std::string> parse_failed_keys(const std::string& body) {
   const Json root = parse_object(body);
   std::vector<std::string> out;
   for (const Json& each : need_list(root, "failed")) out.push_back(as_text(each, "failed"));
@@ -91,7 +91,7 @@
   return out;
 }
 
-bool tells_of_lease(const std::string& body) {
+bool names_expired_lease(const std::string& body) {
   return body.find("no such lease") != std::string::npos;
 }
 
--- a/src/protocol/state_messages.hpp
+++ b/src/protocol/state_messages.hpp
@@ -61,10 +61,10 @@
 // Parsers throw DecodeError.
 std::uint64_t parse_lease(const std::string& body);
 std::uint64_t parse_revision(const std::string& body);
-std::vector<std::string> parse_failed(const std::string& body);
+std::vector<std::string> parse_failed_keys(const std::string& body);
 /// Whether the body of a 400 says that a lease has ended: the only 400 that is not a fault of the
 /// request itself.
-bool tells_of_lease(const std::string& body);
+bool names_expired_lease(const std::string& body);
 Entry parse_entry(const std::string& body);
 EntryPage parse_entries(const std::string& body);
 WatchPage parse_watch(const std::string& body);
--- a/src/protocol/submission.cpp
+++ b/src/protocol/submission.cpp
@@ -145,12 +145,12 @@
 
 std::string encode_error(const std::string& reason) { return Json{{"error", reason}}.dump(); }
 
-UserPath parse_path(const std::string& target) {
-  using What = UserPath::What;
+Route parse_route(const std::string& target) {
+  using What = Route::What;
   const std::string path = target.substr(0, target.find('?'));
   if (path == submissions_path) return {What::submit, ""};
   if (path == "/up") return {What::up, ""};
-  if (path == "/agent/beat") return {What::report, ""};
+  if (path == "/agent/beat") return {What::heartbeat, ""};
   const std::string prefix = std::string(submissions_path) + "/";
   if (!path.starts_with(prefix)) return {};
   std::string rest = path.substr(prefix.size());
--- a/src/protocol/submission.hpp
+++ b/src/protocol/submission.hpp
@@ -69,10 +69,10 @@
 const char* state_word(JobState state);
 
 // Where a user's request goes.
-struct UserPath {
-  enum class What { submit, show, cancel, up, report, none } what = What::none;
+struct Route {
+  enum class What { submit, show, cancel, up, heartbeat, none } what = What::none;
   std::string id;
 };
-UserPath parse_path(const std::string& target);
+Route parse_route(const std::string& target);
 
 }  // namespace poppystile::protocol
--- a/src/protocol/worker_messages.cpp
+++ b/src/protocol/worker_messages.cpp
@@ -80,9 +80,9 @@
   return error == std::errc{} && stop == end;
 }
 
-Report parse_report(const std::string& body) {
+Heartbeat parse_heartbeat(const std::string& body) {
   const Json root = parse_object(body);
-  Report out;
+  Heartbeat out;
   out.machine = need_text(root, "stile");
   if (out.machine.empty() || out.machine.size() > constants::max_name_bytes / 2 ||
       out.machine.find_first_of(" /\n") != std::string::npos)
@@ -91,7 +91,7 @@
   out.type = need_text(root, "build");
   out.zone = need_text(root, "yard");
   out.spot = need_flag(root, "loaners");
-  out.session = need_count(root, "shift");
+  out.incarnation = need_count(root, "shift");
   out.sequence = need_count(root, "tick");
   out.token = need_count(root, "baton");
   if (const Json* notice = find(root, "recall_s")) out.notice_s = as_amount(*notice, "recall_s");
--- a/src/protocol/worker_messages.hpp
+++ b/src/protocol/worker_messages.hpp
@@ -38,13 +38,13 @@
   bool saved = false;
 };
 
-struct Report {
+struct Heartbeat {
   std::string machine;
   std::string address;
   std::string type;
   std::string zone;
   bool spot = false;
-  std::uint64_t session = 0;
+  std::uint64_t incarnation = 0;
   std::uint64_t sequence = 0;
   std::uint64_t token = 0;
   std::optional<double> notice_s;
@@ -60,7 +60,7 @@
 };
 
 // Throws DecodeError.
-Report parse_report(const std::string& body);
+Heartbeat parse_heartbeat(const std::string& body);
 std::string encode_commands(std::uint64_t token, const std::vector<Command>& commands);
 // Tells a worker to report elsewhere; empty when nobody is known to lead.
 std::string encode_redirect(const std::string& leader);
--- a/src/storage/journal.cpp
+++ b/src/storage/journal.cpp
@@ -21,16 +21,16 @@
 constexpr std::uint64_t form = 2;
 
 // One letter an entry, as its first element.
-constexpr const char* known_word = "m";
-constexpr const char* session_word = "s";
-constexpr const char* gone_word = "g";
-constexpr const char* image_word = "i";
-constexpr const char* placed_word = "p";
-constexpr const char* ended_word = "e";
-constexpr const char* finished_word = "d";
-constexpr const char* bits_word = "b";
-constexpr const char* hire_word = "h";
-constexpr const char* settled_word = "x";
+constexpr const char* machine_registered_letter = "m";
+constexpr const char* incarnation_started_letter = "s";
+constexpr const char* machine_removed_letter = "g";
+constexpr const char* image_cached_letter = "i";
+constexpr const char* task_placed_letter = "p";
+constexpr const char* placement_ended_letter = "e";
+constexpr const char* task_finished_letter = "d";
+constexpr const char* finished_bitmap_letter = "b";
+constexpr const char* rental_requested_letter = "h";
+constexpr const char* rental_settled_letter = "x";
 
 const Json& at(const Json& entry, std::size_t position) {
   if (position >= entry.size()) throw DecodeError("journal entry is too short");
@@ -102,51 +102,57 @@
 
 // --- entries ---
 
-Json known_entry(const std::string& machine, const std::string& type, const std::string& zone,
-                 bool spot, std::uint64_t session, double rented_wall_s) {
-  return Json::array({known_word, machine, type, zone, spot, session, rented_wall_s});
+Json machine_registered_entry(const std::string& machine, const std::string& type,
+                              const std::string& zone, bool spot, std::uint64_t incarnation,
+                              double rented_wall_s) {
+  return Json::array(
+      {machine_registered_letter, machine, type, zone, spot, incarnation, rented_wall_s});
 }
 
-Json session_entry(const std::string& machine, std::uint64_t session) {
-  return Json::array({session_word, machine, session});
+Json incarnation_started_entry(const std::string& machine, std::uint64_t incarnation) {
+  return Json::array({incarnation_started_letter, machine, incarnation});
 }
 
-Json gone_entry(const std::string& machine) { return Json::array({gone_word, machine}); }
+Json machine_removed_entry(const std::string& machine) {
+  return Json::array({machine_removed_letter, machine});
+}
 
-Json image_entry(const std::string& machine, const CachedImage& image) {
-  return Json::array({image_word, machine, image.name, image.gb});
+Json image_cached_entry(const std::string& machine, const CachedImage& image) {
+  return Json::array({image_cached_letter, machine, image.name, image.gb});
 }
 
-Json placed_entry(const std::string& job, std::uint64_t attempt, const std::string& machine,
-                  std::uint32_t index) {
-  return Json::array({placed_word, job, attempt, Json::array({machine, index, index})});
+Json task_placed_entry(const std::string& job, std::uint64_t attempt, const std::string& machine,
+                       std::uint32_t index) {
+  return Json::array({task_placed_letter, job, attempt, Json::array({machine, index, index})});
 }
 
-Json ended_entry(const std::string& job, std::uint32_t index) {
-  return Json::array({ended_word, job, Json::array({index, index})});
+Json placement_ended_entry(const std::string& job, std::uint32_t index) {
+  return Json::array({placement_ended_letter, job, Json::array({index, index})});
 }
 
-Json finished_entry(const std::string& job, std::uint32_t index) {
-  return Json::array({finished_word, job, Json::array({index, index})});
+Json task_finished_entry(const std::string& job, std::uint32_t index) {
+  return Json::array({task_finished_letter, job, Json::array({index, index})});
 }
 
-Json finished_bits_entry(const std::string& job, std::uint32_t first,
-                         const std::vector<bool>& bits) {
-  return Json::array({bits_word, job, first, to_hex(bits)});
+Json finished_bitmap_entry(const std::string& job, std::uint32_t first,
+                           const std::vector<bool>& bits) {
+  return Json::array({finished_bitmap_letter, job, first, to_hex(bits)});
 }
 
-Json hire_entry(const std::string& name, const RentalRecord& record) {
-  return Json::array({hire_word, name, record.type, record.zone, record.spot,
+Json rental_requested_entry(const std::string& name, const RentalRecord& record) {
+  return Json::array({rental_requested_letter, name, record.type, record.zone, record.spot,
                       static_cast<unsigned>(record.count)});
 }
 
-Json hire_settled_entry(const std::string& name) { return Json::array({settled_word, name}); }
+Json rental_settled_entry(const std::string& name) {
+  return Json::array({rental_settled_letter, name});
+}
 
 bool merge_entries(Json& last, const Json& next, std::size_t max_runs) {
   const std::string word = last[0].get<std::string>();
   if (last[0] != next[0] || last[1] != next[1]) return false;
-  const bool places = word == placed_word;
-  if (!places && word != ended_word && word != finished_word) return false;
+  const bool places = word == task_placed_letter;
+  if (!places && word != placement_ended_letter && word != task_finished_letter) return false;
   if (places && last[2] != next[2]) return false;
   // Kept short, so that a record can always be cut between two entries.
   if (last.size() >= max_runs) return false;
@@ -156,78 +162,78 @@
 
 // --- ledger ---
 
-void Ledger::apply(const Json& entry) {
+void ReplayedState::apply(const Json& entry) {
   if (!entry.is_array()) throw DecodeError("journal entry is not a list");
   const std::string word = text_at(entry, 0);
   const std::string name = text_at(entry, 1);
-  if (word == known_word) {
-    LedgerMachine& machine = machines[name];
+  if (word == machine_registered_letter) {
+    ReplayedMachine& machine = machines[name];
     machine.type = text_at(entry, 2);
     machine.zone = text_at(entry, 3);
     machine.spot = as_flag(at(entry, 4), "entry");
-    machine.session = std::max(machine.session, count_at(entry, 5));
+    machine.incarnation = std::max(machine.incarnation, count_at(entry, 5));
     machine.rented_wall_s = as_amount(at(entry, 6), "entry");
-  } else if (word == session_word) {
-    LedgerMachine& machine = machines[name];
-    machine.session = std::max(machine.session, count_at(entry, 2));
+  } else if (word == incarnation_started_letter) {
+    ReplayedMachine& machine = machines[name];
+    machine.incarnation = std::max(machine.incarnation, count_at(entry, 2));
     empty_machine(machine);
-  } else if (word == gone_word) {
+  } else if (word == machine_removed_letter) {
     empty_machine(machines[name]);
     machines.erase(name);
-  } else if (word == image_word) {
+  } else if (word == image_cached_letter) {
     auto& images = machines[name].images;
     const std::string image = text_at(entry, 2);
     std::erase_if(images, [&](const CachedImage& each) { return each.name == image; });
     images.push_back({image, as_amount(at(entry, 3), "entry")});
-  } else if (word == placed_word) {
+  } else if (word == task_placed_letter) {
     const std::uint64_t attempt = count_at(entry, 2);
     at(entry, 3);  // one run at least
-    LedgerJob& job = jobs[name];
+    ReplayedJob& job = jobs[name];
     for (std::size_t i = 3; i < entry.size(); ++i) {
       const Run run = run_at(entry[i], 1);
       const std::string machine = text_at(entry[i], 0);
       for (std::uint32_t index = run.first; index <= run.last; ++index) {
-        forget_place(name, index);
+        remove_placement(name, index);
         if (job.is_finished(index)) continue;
         job.placed[index] = {machine, attempt};
         machines[machine].tasks.emplace(name, index);
       }
     }
-  } else if (word == ended_word || word == finished_word) {
-    LedgerJob& job = jobs[name];
+  } else if (word == placement_ended_letter || word == task_finished_letter) {
+    ReplayedJob& job = jobs[name];
     for (std::size_t i = 2; i < entry.size(); ++i) {
       const Run run = run_at(entry[i], 0);
-      if (word == finished_word && run.last >= job.finished.size())
+      if (word == task_finished_letter && run.last >= job.finished.size())
         job.finished.resize(run.last + 1);
       for (std::uint32_t index = run.first; index <= run.last; ++index) {
-        forget_place(name, index);
-        if (word == finished_word) job.finished[index] = true;
+        remove_placement(name, index);
+        if (word == task_finished_letter) job.finished[index] = true;
       }
     }
-  } else if (word == bits_word) {
-    LedgerJob& job = jobs[name];
+  } else if (word == finished_bitmap_letter) {
+    ReplayedJob& job = jobs[name];
     const auto first = count_at(entry, 2);
     const auto bits = from_hex(text_at(entry, 3));
     if (first + bits.size() > constants::max_tasks + 4) throw DecodeError("bitmap out of range");
     if (job.finished.size() < first + bits.size()) job.finished.resize(first + bits.size());
     for (std::size_t i = 0; i < bits.size(); ++i)
       if (bits[i]) job.finished[first + i] = true;
-  } else if (word == hire_word) {
+  } else if (word == rental_requested_letter) {
     rentals[name] = {text_at(entry, 2), text_at(entry, 3), as_flag(at(entry, 4), "entry"),
                      static_cast<int>(count_at(entry, 5))};
-  } else if (word == settled_word) {
+  } else if (word == rental_settled_letter) {
     rentals.erase(name);
   } else {
     throw DecodeError("journal entry of an unknown kind");
   }
 }
 
-void Ledger::empty_machine(LedgerMachine& machine) {
+void ReplayedState::empty_machine(ReplayedMachine& machine) {
   for (const auto& [job, index] : machine.tasks) jobs[job].placed.erase(index);
   machine.tasks.clear();
 }
 
-void Ledger::forget_place(const std::string& job, std::uint32_t index) {
+void ReplayedState::remove_placement(const std::string& job, std::uint32_t index) {
   auto& placed = jobs[job].placed;
   const auto found = placed.find(index);
   if (found == placed.end()) return;
@@ -247,8 +253,8 @@
   return keys::journal + "snap/" + std::to_string(generation % 2) + "/" + std::to_string(part);
 }
 
-std::string encode_part(std::uint64_t number, std::uint64_t token,
-                        const std::vector<std::string>& entries) {
+std::string encode_chunk(std::uint64_t number, std::uint64_t token,
+                         const std::vector<std::string>& entries) {
   // The entries are valid JSON texts already; only the list around them is written here.
   const std::string frame = Json{{"v", form}, {"n", number}, {"t", token}}.dump();
   std::string out = frame.substr(0, frame.size() - 1) + ",\"e\":[";
@@ -259,9 +265,9 @@
   return out + "]}";
 }
 
-JournalPart decode_part(const Json& value) {
+JournalChunk decode_chunk(const Json& value) {
   check_form(value);
-  JournalPart out{need_count(value, "n"), need_count(value, "t"), {}};
+  JournalChunk out{need_count(value, "n"), need_count(value, "t"), {}};
   for (const Json& each : need_list(value, "e")) out.entries.push_back(each);
   return out;
 }
@@ -277,11 +283,11 @@
 
 // --- reading ---
 
-void JournalReader::add(const std::string& key, const Json& value) {
+void JournalReplay::add(const std::string& key, const Json& value) {
   if (key == keys::journal_head) {
     head_ = decode_head(value);
   } else if (key.starts_with(keys::journal + "log/")) {
-    auto part = decode_part(value);
+    auto part = decode_chunk(value);
     segments_[part.number] = std::move(part.entries);
   } else if (key.starts_with(keys::journal + "snap/")) {
     const auto slash = key.rfind('/');
@@ -289,15 +295,15 @@
     const char* end = key.data() + key.size();
     if (std::from_chars(key.data() + slash + 1, end, number).ptr != end)
       throw DecodeError("snapshot key is malformed");
-    auto part = decode_part(value);
+    auto part = decode_chunk(value);
     snapshots_[{part.number, number}] = std::move(part.entries);
   } else {
     throw DecodeError("unknown record in the journal");
   }
 }
 
-Ledger JournalReader::replay() const {
-  Ledger out;
+ReplayedState JournalReplay::replay() const {
+  ReplayedState out;
   if (empty()) return out;
   for (std::uint64_t part = 0; part < head_.parts; ++part) {
     const auto found = snapshots_.find({head_.generation, part});
--- a/src/storage/records.cpp
+++ b/src/storage/records.cpp
@@ -57,11 +57,11 @@
           need_flag(value, "cancelled")};
 }
 
-Json encode_over(protocol::JobState state) {
+Json encode_final_state(protocol::JobState state) {
   return {{"v", version}, {"done", state == protocol::JobState::done}};
 }
 
-protocol::JobState decode_over(const Json& value) {
+protocol::JobState decode_final_state(const Json& value) {
   check_version(value);
   return need_flag(value, "done") ? protocol::JobState::done : protocol::JobState::cancelled;
 }
--- a/src/storage/records.hpp
+++ b/src/storage/records.hpp
@@ -26,11 +26,11 @@
 inline const std::string journal = "journal/";
 inline const std::string journal_head = "journal/head";
 // Of the first version, which kept one record for each machine.
-inline const std::string old_machines = "machine/";
+inline const std::string legacy_machines = "machine/";
 }  // namespace keys
 
 inline std::string job_key(const std::string& id) { return keys::jobs + id; }
-inline std::string over_key(const std::string& id) { return keys::over + id; }
+inline std::string final_record_key(const std::string& id) { return keys::over + id; }
 struct LeaderRecord {
   std::string name;
   std::uint64_t token = 0;
@@ -62,12 +62,12 @@
 /// that the service knows.
 Json encode_cancelled(JobRecord record, std::size_t max_bytes);
 Json encode_token(std::uint64_t token);
-Json encode_over(protocol::JobState state);
+Json encode_final_state(protocol::JobState state);
 Json encode_catalog(const std::vector<protocol::MachineType>& types);
 LeaderRecord decode_leader(const Json& value);
 JobRecord decode_job(const Json& value);
 std::uint64_t decode_token(const Json& value);
-protocol::JobState decode_over(const Json& value);
+protocol::JobState decode_final_state(const Json& value);
 std::vector<protocol::MachineType> decode_catalog(const Json& value);
 
 }  // namespace poppystile::storage
--- a/src/transport/peer_link.cpp
+++ b/src/transport/peer_link.cpp
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-class PeerLink::Outgoing {
+class PeerConnections::Outgoing {
  public:
   Outgoing(EventLoop& loop, Endpoint to) : loop_(loop), to_(std::move(to)) {}
 
@@ -95,7 +95,7 @@
   }
 
   void give_up_if_stuck() {
-    if (loop_.now_s() - wire_->since_s > constants::peer_fresh_s) drop();
+    if (loop_.now_s() - wire_->since_s > constants::peer_status_fresh_s) drop();
   }
 
   void drop() {
@@ -110,9 +110,9 @@
   Wire* wire_ = nullptr;
 };
 
-class PeerLink::Incoming {
+class PeerConnections::Incoming {
  public:
-  static void accept(PeerLink& link) {
+  static void accept(PeerConnections& link) {
     auto* self = std::make_unique<Incoming>(link).release();  // libuv's until closed
     uv_tcp_init(link.loop_.raw(), &self->tcp_);
     self->tcp_.data = self;
@@ -130,7 +130,7 @@
         });
   }
 
-  explicit Incoming(PeerLink& link) : link_(link) { ++link_.incoming_; }
+  explicit Incoming(PeerConnections& link) : link_(link) { ++link_.incoming_; }
   ~Incoming() { --link_.incoming_; }
 
  private:
@@ -159,16 +159,17 @@
     });
   }
 
-  PeerLink& link_;
+  PeerConnections& link_;
   uv_tcp_t tcp_{};
   char input_[4096];
   std::string pending_;
   bool closing_ = false;
 };
 
-PeerLink::PeerLink(EventLoop& loop, const Endpoint& listen, const std::vector<Endpoint>& siblings)
+PeerConnections::PeerConnections(EventLoop& loop, const Endpoint& listen,
+                                 const std::vector<Endpoint>& peers)
     : loop_(loop) {
-  for (const auto& each : siblings) outgoing_.push_back(std::make_unique<Outgoing>(loop, each));
+  for (const auto& each : peers) outgoing_.push_back(std::make_unique<Outgoing>(loop, each));
   uv_tcp_init(loop.raw(), &listener_);
   listener_.data = this;
   sockaddr_in address{};
@@ -177,20 +178,21 @@
   if (rc == 0)
     rc = uv_listen(reinterpret_cast<uv_stream_t*>(&listener_), 16,
                    [](uv_stream_t* stream, int status) {
-                     if (status == 0) Incoming::accept(*static_cast<PeerLink*>(stream->data));
+                     if (status == 0)
+                       Incoming::accept(*static_cast<PeerConnections*>(stream->data));
                    });
   if (rc != 0)
     throw std::runtime_error("cannot listen for siblings on " + listen.host + ":" +
                              std::to_string(listen.port) + ": " + uv_strerror(rc));
 }
 
-PeerLink::~PeerLink() = default;
+PeerConnections::~PeerConnections() = default;
 
-void PeerLink::broadcast(const std::string& frame) {
+void PeerConnections::broadcast(const std::string& frame) {
   for (auto& each : outgoing_) each->send(frame);
 }
 
-void PeerLink::on_frame(std::function<void(const std::string&)> handler) {
+void PeerConnections::on_frame(std::function<void(const std::string&)> handler) {
   handler_ = std::move(handler);
 }
 
--- a/src/transport/peer_link.hpp
+++ b/src/transport/peer_link.hpp
@@ -12,17 +12,17 @@
 
 namespace poppystile::transport {
 
-class PeerNet {
+class PeerTransport {
  public:
-  virtual ~PeerNet() = default;
+  virtual ~PeerTransport() = default;
   virtual void broadcast(const std::string& frame) = 0;
   virtual void on_frame(std::function<void(const std::string&)> handler) = 0;
 };
 
-class PeerLink final : public PeerNet {
+class PeerConnections final : public PeerTransport {
  public:
-  PeerLink(EventLoop& loop, const Endpoint& listen, const std::vector<Endpoint>& siblings);
-  ~PeerLink() override;
+  PeerConnections(EventLoop& loop, const Endpoint& listen, const std::vector<Endpoint>& peers);
+  ~PeerConnections() override;
   void broadcast(const std::string& frame) override;
   void on_frame(std::function<void(const std::string&)> handler) override;
 
--- a/tests/simulation/cloud.cpp
+++ b/tests/simulation/cloud.cpp
@@ -77,14 +77,14 @@
   if (!it->second.failed) used_s_ += queue_.now() - it->second.at;
   machines_.erase(it);
   remember();
-  on_gone(id);
+  on_machine_removed(id);
 }
 
 void Cloud::take(const std::string& id) { remove(id); }
 
 void Cloud::fail(const std::string& id) {
   if (!machines_.contains(id)) return;
-  on_gone(id);
+  on_machine_removed(id);
   queue_.after(died_listed_s, [this, id] {
     const auto it = machines_.find(id);
     if (it == machines_.end()) return;
--- a/tests/simulation/cloud.hpp
+++ b/tests/simulation/cloud.hpp
@@ -39,7 +39,7 @@
   double machine_seconds() const;
 
   std::function<void(const Rented&, const protocol::MachineType&)> on_up;
-  std::function<void(const std::string&)> on_gone;
+  std::function<void(const std::string&)> on_machine_removed;
 
  private:
   void hire(const std::string& body, const Reply& reply);
--- a/tests/simulation/fake_http_caller.hpp
+++ b/tests/simulation/fake_http_caller.hpp
@@ -21,9 +21,9 @@
                  [](const transport::HttpResponse&) {});
 }
 
-class LoneCaller : public transport::Runtime, public transport::HttpCaller {
+class FakeHttpCaller : public transport::Runtime, public transport::HttpCaller {
  public:
-  LoneCaller(EventQueue& queue, StateService& service, double lose_answers)
+  FakeHttpCaller(EventQueue& queue, StateService& service, double lose_answers)
       : queue_(queue), service_(service), lose_answers_(lose_answers) {}
 
   double now_s() const override { return 1000 + queue_.now(); }
--- a/tests/simulation/gangs.cpp
+++ b/tests/simulation/gangs.cpp
@@ -21,7 +21,7 @@
     ++incomplete_;
     member->second.host->end_gang_task(task, "alone", false);
   });
-  if (!made.begun && made.members.size() == rules_.job(job)->tasks) begin(key);
+  if (!made.begun && made.members.size() == invariants_.job(job)->tasks) begin(key);
 }
 
 void Gangs::begin(const Key& key) {
@@ -53,9 +53,9 @@
   if (attempt.over || attempt.stopped_at >= 0) return;
   if (any_host_hangs(attempt)) return fail(key);
   attempt.over = true;
-  for (std::uint32_t index = 0; index < rules_.job(key.first)->tasks; ++index)
-    rules_.completed(key.first, index);
-  end_all(key, "done", false);
+  for (std::uint32_t index = 0; index < invariants_.job(key.first)->tasks; ++index)
+    invariants_.completed(key.first, index);
+  evict_all(key, "done", false);
 }
 
 void Gangs::leave(const std::string& job, std::uint64_t attempt, std::uint32_t index) {
@@ -68,7 +68,7 @@
   Attempt& attempt = attempts_[key];
   attempt.over = true;
   ++failures_;
-  const double every = rules_.job(key.first)->checkpoint_s;
+  const double every = invariants_.job(key.first)->checkpoint_s;
   if (every > 0)
     saved_s_[key.first] =
         std::max(saved_s_[key.first], std::floor(progress_s(key) / every) * every);
@@ -87,7 +87,7 @@
   Attempt& known = attempts_[key];
   const auto found = known.members.find(index);
   if (found == known.members.end()) return;
-  const protocol::JobSpec& spec = *rules_.job(job);
+  const protocol::JobSpec& spec = *invariants_.job(job);
   if (!known.begun || known.over || spec.checkpoint_s <= 0 || grace_s < spec.save_s) {
     const Member member = found->second;
     return member.host->end_gang_task(member.task, "halted", false);
@@ -115,10 +115,10 @@
   saved_s_[key.first] = std::max(saved_s_[key.first], progress_s(key));
   attempt.over = true;
   ++saves_;
-  end_all(key, "halted", true);
+  evict_all(key, "halted", true);
 }
 
-void Gangs::end_all(const Key& key, const std::string& cause, bool stored) {
+void Gangs::evict_all(const Key& key, const std::string& cause, bool stored) {
   const auto members = attempts_[key].members;  // each end removes one
   for (const auto& [index, member] : members)
     member.host->end_gang_task(member.task, cause, stored);
@@ -132,7 +132,7 @@
 
 double Gangs::total_s(const std::string& job) {
   const auto [found, inserted] = total_s_.try_emplace(job, 0);
-  if (inserted) found->second = rules_.job(job)->estimate_s * queue_.uniform(0.6, 1.4);
+  if (inserted) found->second = invariants_.job(job)->estimate_s * queue_.uniform(0.6, 1.4);
   return found->second;
 }
 
--- a/tests/simulation/gangs.hpp
+++ b/tests/simulation/gangs.hpp
@@ -29,8 +29,8 @@
 
 class Gangs {
  public:
-  Gangs(EventQueue& queue, Rules& rules, const GangTiming& timing)
-      : queue_(queue), rules_(rules), timing_(timing) {}
+  Gangs(EventQueue& queue, InvariantChecker& invariants, const GangTiming& timing)
+      : queue_(queue), invariants_(invariants), timing_(timing) {}
 
   /// A task of this attempt has its image. `task` is the host's own name for it.
   void join(const std::string& job, std::uint64_t attempt, std::uint32_t index, GangHost& host,
@@ -66,13 +66,13 @@
   void fail(const Key& key);
   void store(const Key& key);
   bool all_told(const Key& key);
-  void end_all(const Key& key, const std::string& cause, bool stored);
+  void evict_all(const Key& key, const std::string& cause, bool stored);
   /// Seconds of work that the attempt has done, with what was saved before it.
   double progress_s(const Key& key);
   double total_s(const std::string& job);
 
   EventQueue& queue_;
-  Rules& rules_;
+  InvariantChecker& invariants_;
   GangTiming timing_;
   std::map<Key, Attempt> attempts_;
   std::map<std::string, double> saved_s_;  // progress that is safe, by job
--- a/tests/simulation/invariant_checker.cpp
+++ b/tests/simulation/invariant_checker.cpp
@@ -14,16 +14,16 @@
 constexpr double largest_share = 0.1;    // of a class's jobs, by tasks
 }  // namespace
 
-void Rules::breach(const std::string& rule, const std::string& detail) {
+void InvariantChecker::breach(const std::string& rule, const std::string& detail) {
   broken_.push_back(std::to_string(queue_.now()) + " " + rule + " " + detail);
 }
 
-const protocol::JobSpec* Rules::job(const std::string& id) const {
+const protocol::JobSpec* InvariantChecker::job(const std::string& id) const {
   const auto it = jobs_.find(id);
   return it == jobs_.end() ? nullptr : &it->second;
 }
 
-void Rules::on_machine(const std::string& id, std::uint32_t index, const Place& place) {
+void InvariantChecker::on_machine(const std::string& id, std::uint32_t index, const Place& place) {
   ++starts_;
   if (is_mistaken(id)) ++mistaken_starts_;
   began_.emplace(id, queue_.now());
@@ -48,7 +48,8 @@
   if (queue_.now() > told->second + cancel_s_) breach("ran_cancelled", name + " started");
 }
 
-void Rules::check_zones(const protocol::JobSpec& spec, std::uint32_t index, const Place& place) {
+void InvariantChecker::check_zones(const protocol::JobSpec& spec, std::uint32_t index,
+                                   const Place& place) {
   const std::string& id = spec.id;
   const std::string name = id + "/" + std::to_string(index) + " on " + place.machine;
   std::uint32_t here = 1;
@@ -62,32 +63,33 @@
   if (spec.spread && here > (spec.tasks + 1) / 2) breach("wrong_place", name + " crowds a zone");
 }
 
-void Rules::off_machine(const std::string& id, std::uint32_t index, const std::string& machine) {
+void InvariantChecker::off_machine(const std::string& id, std::uint32_t index,
+                                   const std::string& machine) {
   const auto it = on_.find({id, index});
   if (it == on_.end() || it->second.erase(machine) == 0 || !it->second.empty()) return;
   on_.erase(it);
   team_cpus_[jobs_.at(id).team] -= jobs_.at(id).each.cpus;
 }
 
-void Rules::completed(const std::string& id, std::uint32_t index) {
+void InvariantChecker::completed(const std::string& id, std::uint32_t index) {
   auto& tasks = completed_[id];
   const bool last = tasks.insert(index).second && tasks.size() == jobs_.at(id).tasks;
   if (last && on_last_task_) on_last_task_(id);
 }
 
-bool Rules::is_on_a_machine(const std::string& id) const {
+bool InvariantChecker::is_on_a_machine(const std::string& id) const {
   const auto it = on_.lower_bound({id, 0});
   return it != on_.end() && it->first.first == id;
 }
 
-std::set<std::string> Rules::machines_of(const std::string& id) const {
+std::set<std::string> InvariantChecker::machines_of(const std::string& id) const {
   std::set<std::string> out;
   for (auto it = on_.lower_bound({id, 0}); it != on_.end() && it->first.first == id; ++it)
     for (const auto& [machine, place] : it->second) out.insert(machine);
   return out;
 }
 
-bool Rules::waits_within_limit(const std::string& id) const {
+bool InvariantChecker::waits_within_limit(const std::string& id) const {
   const auto& spec = jobs_.at(id);
   const auto done = completed_.find(id);
   if (cancelled_told_.contains(id) || is_on_a_machine(id) ||
@@ -101,7 +103,7 @@
          (used == team_cpus_.end() ? 0 : used->second) + needed <= limit->second;
 }
 
-void Rules::waits(const std::string& id, const std::string& beside) {
+void InvariantChecker::waits(const std::string& id, const std::string& beside) {
   if (beside.empty()) {
     waits_since_.erase(id);
     return;
@@ -112,12 +114,13 @@
   waits_since_[id] = queue_.now();
 }
 
-bool Rules::is_completed(const std::string& id, std::uint32_t index) const {
+bool InvariantChecker::is_completed(const std::string& id, std::uint32_t index) const {
   const auto it = completed_.find(id);
   return it != completed_.end() && it->second.contains(index);
 }
 
-void Rules::told(const std::string& id, int status, const std::string& state, bool poll) {
+void InvariantChecker::told(const std::string& id, int status, const std::string& state,
+                            bool poll) {
   const bool known = jobs_.contains(id);
   if (status == 404 && accepted_.contains(id)) breach("forgotten", id + " got 404");
   if ((status == 400 || status == 422) && !poll && accepted_.contains(id))
@@ -133,9 +136,11 @@
   if (state == "done") done_.insert(id);
 }
 
-void Rules::told_cancelled(const std::string& id) { cancelled_told_.emplace(id, queue_.now()); }
+void InvariantChecker::told_cancelled(const std::string& id) {
+  cancelled_told_.emplace(id, queue_.now());
+}
 
-void Rules::sweep() {
+void InvariantChecker::sweep() {
   for (const auto& [task, places] : on_) {
     const auto told = cancelled_told_.find(task.first);
     if (told != cancelled_told_.end() && queue_.now() > told->second + cancel_s_ + sweep_slack_s)
@@ -143,7 +148,7 @@
   }
 }
 
-void Rules::judge_service() {
+void InvariantChecker::judge_service() {
   const double now = queue_.now();
   for (const auto& id : accepted_) {
     // Nobody can be silent about a job that nobody asks about.
@@ -173,7 +178,7 @@
   }
 }
 
-std::size_t Rules::on_now(const std::string& job_class) const {
+std::size_t InvariantChecker::on_now(const std::string& job_class) const {
   return static_cast<std::size_t>(std::count_if(on_.begin(), on_.end(), [&](const auto& each) {
     return jobs_.at(each.first.first).job_class == job_class;
   }));
--- a/tests/simulation/invariant_checker.hpp
+++ b/tests/simulation/invariant_checker.hpp
@@ -19,9 +19,9 @@
   bool spot = false;
 };
 
-class Rules {
+class InvariantChecker {
  public:
-  Rules(EventQueue& queue, double cancel_s) : queue_(queue), cancel_s_(cancel_s) {}
+  InvariantChecker(EventQueue& queue, double cancel_s) : queue_(queue), cancel_s_(cancel_s) {}
 
   void team(const std::string& name, std::int64_t cpus_max) { limits_[name] = cpus_max; }
   void submitted(const protocol::JobSpec& job) {
--- a/tests/simulation/scenario.cpp
+++ b/tests/simulation/scenario.cpp
@@ -63,13 +63,13 @@
 }  // namespace
 
 Scenario::Scenario(const std::string& path, int turn) : statements_(read_scenario_file(path)) {
-  WorldSettings settings;
+  SimulationSettings settings;
   for (const auto& each : statements_) {
     if (each.words[0] == "world") read_world(each, settings);
     if (each.words[0] == "team") settings.teams.push_back(team_of(each));
   }
   settings.seed += static_cast<std::uint64_t>(turn);
-  world_ = std::make_unique<World>(settings);
+  world_ = std::make_unique<Simulation>(settings);
   for (const auto& each : statements_) {
     if (each.words[0] == "type") add_type(each);
     if (each.words[0] == "load") add_load(each);
@@ -80,26 +80,26 @@
 bool Scenario::play() {
   world_->start();
   world_->queue().run_until(until_);
-  world_->rules().judge_service();
+  world_->invariants().judge_service();
   int failures = 0;
-  for (const auto& each : world_->rules().broken())
+  for (const auto& each : world_->invariants().broken())
     if (++failures <= max_shown) std::cout << "broken rule: " << each << "\n";
   for (const auto& each : statements_)
     if (each.words[0] == "expect" && !met(each)) ++failures;
-  std::cout << "started " << world_->rules().starts() << ", accepted "
-            << world_->rules().accepted_jobs() << ", done " << world_->rules().done_jobs()
+  std::cout << "started " << world_->invariants().starts() << ", accepted "
+            << world_->invariants().accepted_jobs() << ", done " << world_->invariants().done_jobs()
             << ", failures " << failures << "\n";
   return failures == 0;
 }
 
 // --- set-up ---
 
-void Scenario::read_world(const Statement& statement, WorldSettings& out) {
+void Scenario::read_world(const Statement& statement, SimulationSettings& out) {
   until_ = statement.number("until", 200);
   seeds_ = statement.count("seeds", 1);
   out.seed = static_cast<std::uint64_t>(statement.number("seed", 1));
   out.nodes = statement.count("nodes", 3);
-  out.report_s = statement.number("report_s", 1);
+  out.heartbeat_interval_s = statement.number("report_s", 1);
   out.lease_s = statement.number("lease_s", 10);
   out.cancel_s = statement.number("cancel_s", 35);
   out.state_rps = statement.number("rps", 250);
@@ -144,7 +144,7 @@
 
 void Scenario::submit(const Statement& load) {
   const protocol::JobSpec job = make_job(load);
-  if (load.flag("mistaken")) world_->rules().mistaken(job.id);
+  if (load.flag("mistaken")) world_->invariants().mistaken(job.id);
   world_->submit(job);
 }
 
@@ -191,7 +191,7 @@
   if (action == actions().end())
     throw std::runtime_error("line " + std::to_string(statement.line) + ": unknown action " +
                              statement.words.at(2));
-  world_->rules().troubles_until(
+  world_->invariants().troubles_until(
       world_->queue().now() +
       std::max(for_s(statement), statement.number("back", default_restart_s)));
   action->second(*this, statement);
@@ -258,7 +258,7 @@
        [](Scenario& self, const Statement& s) {
          const double latest = s.number("most", default_copy_max_s);
          self.world_->copy_reports(s.number("share", 0.2), s.number("least", 2), latest, for_s(s));
-         self.world_->rules().troubles_until(self.world_->queue().now() + for_s(s) + latest);
+         self.world_->invariants().troubles_until(self.world_->queue().now() + for_s(s) + latest);
        }},
       {"slow_reports",
        [](Scenario& self, const Statement& s) {
@@ -271,20 +271,20 @@
   return {
       {"state_down",
        [](Scenario& self, const Statement& s) {
-         World& world = *self.world_;
+         Simulation& world = *self.world_;
          world.state_down(true);
          world.queue().after(for_s(s), [&world] { world.state_down(false); });
        }},
       {"lower_limits", [](Scenario& self, const Statement&) { self.world_->lower_state_limits(); }},
       {"cloud_down",
        [](Scenario& self, const Statement& s) {
-         World& world = *self.world_;
+         Simulation& world = *self.world_;
          world.cloud().set_down(true);
          world.queue().after(for_s(s), [&world] { world.cloud().set_down(false); });
        }},
       {"boot_failures",
        [](Scenario& self, const Statement& s) {
-         World& world = *self.world_;
+         Simulation& world = *self.world_;
          world.cloud().set_boot_failures(s.number("share", 0.5));
          world.queue().after(for_s(s), [&world] { world.cloud().set_boot_failures(0); });
        }},
@@ -293,13 +293,13 @@
          const double latest = s.number("most", default_copy_max_s);
          self.world_->repeat_calls(s.number("share", 0.2), s.number("least", 0.5), latest,
                                    for_s(s));
-         self.world_->rules().troubles_until(self.world_->queue().now() + for_s(s) + latest);
+         self.world_->invariants().troubles_until(self.world_->queue().now() + for_s(s) + latest);
        }},
       {"late_writes",
        [](Scenario& self, const Statement& s) {
          self.world_->late_writes(s.number("share", 0.2), for_s(s));
-         self.world_->rules().troubles_until(self.world_->queue().now() + for_s(s) +
-                                             late_write_max_s);
+         self.world_->invariants().troubles_until(self.world_->queue().now() + for_s(s) +
+                                                  late_write_max_s);
        }},
       {"slow_state",
        [](Scenario& self, const Statement& s) {
@@ -358,7 +358,9 @@
 
 const std::map<std::string, Scenario::Count>& Scenario::counts() {
   static const auto of_rules = [](auto count) {
-    return [count](Scenario& self) { return static_cast<double>((self.world_->rules().*count)()); };
+    return [count](Scenario& self) {
+      return static_cast<double>((self.world_->invariants().*count)());
+    };
   };
   static const auto of_world = [](auto count) {
     return [count](Scenario& self) { return static_cast<double>((*self.world_.*count)()); };
@@ -367,23 +369,23 @@
     return [count](Scenario& self) { return static_cast<double>((self.world_->gangs().*count)()); };
   };
   static const std::map<std::string, Count> all = {
-      {"started", of_rules(&Rules::starts)},
-      {"accepted", of_rules(&Rules::accepted_jobs)},
-      {"done", of_rules(&Rules::done_jobs)},
-      {"cancelled", of_rules(&Rules::cancelled_jobs)},
-      {"mistaken_starts", of_rules(&Rules::mistaken_starts)},
-      {"cancelled_starts", of_rules(&Rules::cancelled_starts)},
-      {"state_refused", of_world(&World::state_refused)},
+      {"started", of_rules(&InvariantChecker::starts)},
+      {"accepted", of_rules(&InvariantChecker::accepted_jobs)},
+      {"done", of_rules(&InvariantChecker::done_jobs)},
+      {"cancelled", of_rules(&InvariantChecker::cancelled_jobs)},
+      {"mistaken_starts", of_rules(&InvariantChecker::mistaken_starts)},
+      {"cancelled_starts", of_rules(&InvariantChecker::cancelled_starts)},
+      {"state_refused", of_world(&Simulation::state_refused)},
       {"gangs_begun", of_gangs(&Gangs::begun)},
       {"gangs_saved", of_gangs(&Gangs::saved)},
       {"gangs_failed", of_gangs(&Gangs::failed)},
       {"gangs_incomplete", of_gangs(&Gangs::incomplete)},
-      {"state_invalid", of_world(&World::state_invalid)},
-      {"state_requests", of_world(&World::state_requests)},
-      {"state_changes", of_world(&World::state_changes)},
-      {"lapses", of_world(&World::lapses)},
-      {"stale_releases", of_world(&World::stale_releases)},
-      {"unheard_starts", of_world(&World::unheard_starts)},
+      {"state_invalid", of_world(&Simulation::state_invalid)},
+      {"state_requests", of_world(&Simulation::state_requests)},
+      {"state_changes", of_world(&Simulation::state_changes)},
+      {"lapses", of_world(&Simulation::lapses)},
+      {"stale_releases", of_world(&Simulation::stale_releases)},
+      {"unheard_starts", of_world(&Simulation::max_unacknowledged_starts)},
       {"machine_seconds", [](Scenario& self) { return self.world_->cloud().machine_seconds(); }},
   };
   return all;
@@ -395,7 +397,7 @@
   const double wanted = std::stod(expectation.words.at(3));
   double found = 0;
   if (name.starts_with("on:")) {
-    found = static_cast<double>(world_->rules().on_now(name.substr(3)));
+    found = static_cast<double>(world_->invariants().on_now(name.substr(3)));
   } else if (const auto count = counts().find(name); count != counts().end()) {
     found = count->second(*this);
   } else {
--- a/tests/simulation/scenario.hpp
+++ b/tests/simulation/scenario.hpp
@@ -2,8 +2,8 @@
 /// One scenario: sets up the simulated world as its file says, plays it, and judges it.
 ///
 ///   world KEY=VALUE...            seed, seeds (how many, one after the other), until, nodes,
-///                                 report_s, lease_s, cancel_s, rps, write_rps, txn_ops,
-///                                 lose_answers, list_lag_s; gang_wait_s, gang_peer_s,
+///                                 heartbeat_interval_s, lease_s, cancel_s, rps, write_rps,
+///                                 txn_ops, lose_answers, list_lag_s; gang_wait_s, gang_peer_s,
 ///                                 next_value_kb, next_txn_ops and
 ///                                 next_write_rps: limits that `lower_limits` puts into force
 ///   type NAME KEY=VALUE...        cpus, memory, price, spot_price, boot, zones, count, spot,
@@ -16,7 +16,7 @@
 ///   expect NAME OP NUMBER         started, accepted, done, cancelled, on:CLASS, state_refused,
 ///                                 state_requests, state_changes, state_invalid, lapses,
 ///                                 gangs_begun, gangs_saved, gangs_failed, gangs_incomplete,
-///                                 stale_releases, unheard_starts, cancelled_starts,
+///                                 stale_releases, max_unacknowledged_starts, cancelled_starts,
 ///                                 mistaken_starts, machine_seconds; OP is >= or <=
 ///
 /// A node is any, leader, follower, others (all but the leader, for cuts), all (for crashes) or a
@@ -55,7 +55,7 @@
   static std::map<std::string, Action> service_actions();
   static std::map<std::string, Action> user_actions();
 
-  void read_world(const Statement& statement, WorldSettings& out);
+  void read_world(const Statement& statement, SimulationSettings& out);
   void add_type(const Statement& statement);
   void add_load(const Statement& statement);
   void add_action(const Statement& statement);
@@ -68,7 +68,7 @@
   bool met(const Statement& expectation);
 
   std::vector<Statement> statements_;
-  std::unique_ptr<World> world_;
+  std::unique_ptr<Simulation> world_;
   double until_ = 200;
   int seeds_ = 1;
   int jobs_ = 0;
