--- a/tests/simulation/simulation.cpp
+++ b/tests/simulation/simulation.cpp
@@ -21,8 +21,10 @@
 }  // namespace
 
 // One controller: the real node over simulated time, network and siblings.
-struct World::Controller : transport::Runtime, transport::HttpCaller, transport::PeerNet {
-  Controller(World& w, int number_) : world(w), number(number_) {
+struct Simulation::ControllerProcess : transport::Runtime,
+                                       transport::HttpCaller,
+                                       transport::PeerTransport {
+  ControllerProcess(Simulation& w, int number_) : world(w), number(number_) {
     name = "stile-" + std::to_string(number);
     clock_rate = 1 + world.queue_.uniform(0, 0.0005);
     wall_off = world.queue_.uniform(-0.1, 0.1);
@@ -102,7 +104,7 @@
   // Whether somebody leads under a higher token.
   bool superseded() const {
     return std::any_of(world.controllers_.begin(), world.controllers_.end(), [&](const auto& each) {
-      return each->node && each->node->leads() && each->node->token() > node->token();
+      return each->node && each->node->is_leader() && each->node->token() > node->token();
     });
   }
 
@@ -118,7 +120,7 @@
   void broadcast(const std::string& frame) override {
     for (auto& other : world.controllers_) {
       if (other.get() == this) continue;
-      Controller* to = other.get();
+      ControllerProcess* to = other.get();
       const auto deliver = [to, frame] {
         to->arrive([to, frame] {
           if (to->node && to->on_peer) to->on_peer(frame);
@@ -135,7 +137,7 @@
     on_peer = std::move(handler);
   }
 
-  World& world;
+  Simulation& world;
   int number;
   std::string name;
   double clock_rate = 1;
@@ -149,32 +151,32 @@
   protocol::Properties properties;
   std::shared_ptr<int> life;
   std::function<void(const std::string&)> on_peer;
-  std::unique_ptr<coordination::Node> node;
+  std::unique_ptr<coordination::Controller> node;
 };
 
-World::World(const WorldSettings& settings)
+Simulation::Simulation(const SimulationSettings& settings)
     : settings_(settings),
       queue_(settings.seed),
-      rules_(queue_, settings.cancel_s),
-      gangs_(queue_, rules_, settings.gang_times) {
+      invariants_(queue_, settings.cancel_s),
+      gangs_(queue_, invariants_, settings.gang_times) {
   state_ = std::make_unique<StateService>(queue_, settings.state_rps, settings.state_write_rps,
                                           settings.txn_ops);
   cloud_ = std::make_unique<Cloud>(queue_, settings.list_lag_s);
   for (const auto& team : settings.teams)
-    rules_.team(team.name, static_cast<std::int64_t>(team.cpus_max * 1000));
+    invariants_.team(team.name, static_cast<std::int64_t>(team.cpus_max * 1000));
   std::vector<std::string> names;
   names.reserve(static_cast<std::size_t>(settings.nodes));
   for (int i = 0; i < settings.nodes; ++i) names.push_back("stile-" + std::to_string(i));
   cloud_->on_up = [this, names](const Rented& rented, const protocol::MachineType& type) {
     auto worker = std::make_unique<Worker>(
-        queue_, rules_, gangs_, Place{rented.id, rented.type, rented.zone, rented.spot}, type,
-        WorkerTimes{settings_.report_s, settings_.lease_s}, names,
+        queue_, invariants_, gangs_, Place{rented.id, rented.type, rented.zone, rented.spot}, type,
+        WorkerTimes{settings_.heartbeat_interval_s, settings_.lease_s}, names,
         [this](const std::string& node, const Worker& from, const std::string& body,
                const Worker::Reply& reply) { send_report(node, from, body, reply); });
     worker->start();
     workers_[rented.id] = std::move(worker);
   };
-  cloud_->on_gone = [this](const std::string& id) {
+  cloud_->on_machine_removed = [this](const std::string& id) {
     const auto it = workers_.find(id);
     if (it == workers_.end()) return;
     it->second->stop();
@@ -184,18 +186,18 @@
   };
 }
 
-World::~World() = default;
+Simulation::~Simulation() = default;
 
-void World::start() {
+void Simulation::start() {
   for (int i = 0; i < settings_.nodes; ++i)
-    controllers_.push_back(std::make_unique<Controller>(*this, i));
+    controllers_.push_back(std::make_unique<ControllerProcess>(*this, i));
   for (int i = 0; i < settings_.nodes; ++i) boot(i);
   sweep();
   look_for_waiting_jobs();
 }
 
-void World::boot(int number) {
-  Controller& self = *controllers_[static_cast<std::size_t>(number)];
+void Simulation::boot(int number) {
+  ControllerProcess& self = *controllers_[static_cast<std::size_t>(number)];
   protocol::Settings& s = self.settings;
   s.name = self.name;
   s.zone = settings_.zones[static_cast<std::size_t>(number) % settings_.zones.size()];
@@ -203,7 +205,7 @@
   s.cloud = {"10.2.0.2", 8443};
   s.zones = settings_.zones;
   s.teams = settings_.teams;
-  s.report_s = settings_.report_s;
+  s.heartbeat_interval_s = settings_.heartbeat_interval_s;
   s.lease_s = settings_.lease_s;
   s.cancel_s = settings_.cancel_s;
   s.gang_times = protocol::GangTimes{settings_.gang_times.wait_s, settings_.gang_times.peer_s};
@@ -214,16 +216,16 @@
     s.state_limits = protocol::lower_of(s.state_limits, *settings_.next_limits);
   s.cloud_rps = 6;
   s.list_lag_s = settings_.list_lag_s;
-  s.siblings.clear();
+  s.peers.clear();
   for (int i = 0; i < settings_.nodes; ++i)
-    if (i != number) s.siblings.push_back({"stile-" + std::to_string(i), "a", {"10.0.0.9", 1}});
+    if (i != number) s.peers.push_back({"stile-" + std::to_string(i), "a", {"10.0.0.9", 1}});
   self.life = std::make_shared<int>(0);
-  self.node = std::make_unique<coordination::Node>(self, self, self, self.settings, self.properties,
-                                                   queue_.random());
+  self.node = std::make_unique<coordination::Controller>(self, self, self, self.settings,
+                                                         self.properties, queue_.random());
   self.node->start();
 }
 
-void World::lower_state_limits() {
+void Simulation::lower_state_limits() {
   if (!settings_.next_limits) return;
   const auto& next = *settings_.next_limits;
   state_->set_limits(next.write_rps, next.txn_ops, next.value_kb);
@@ -231,11 +233,13 @@
 
 // --- network ---
 
-void World::send_report(const std::string& node, const Worker& from, const std::string& body,
-                        Worker::Reply patient) {
-  const auto answer = [this, patient = std::move(patient)](const HttpResponse& response) {
-    if (!queue_.chance(slow_reports_)) return patient(response);
-    queue_.after(slow_reports_by_s_, [patient, response] { patient(response); });
+void Simulation::send_report(const std::string& node, const Worker& from, const std::string& body,
+                             Worker::Reply within_retry_deadline) {
+  const auto answer = [this, within_retry_deadline =
+                                 std::move(within_retry_deadline)](const HttpResponse& response) {
+    if (!queue_.chance(slow_reports_)) return within_retry_deadline(response);
+    queue_.after(slow_reports_by_s_,
+                 [within_retry_deadline, response] { within_retry_deadline(response); });
   };
   // What a deaf machine is told is lost on the way; it may hear again before the next answer.
   const auto reply = [this, machine = from.place().machine, answer](const HttpResponse& response) {
@@ -243,9 +247,9 @@
     if (response.body.find(R"("verb":"start")") != std::string::npos) ++unheard_starts_;
   };
   if (queue_.chance(copy_share_)) {
-    Controller* to = controllers_[static_cast<std::size_t>(
-                                      queue_.uniform(0, static_cast<double>(controllers_.size())))]
-                         .get();
+    ControllerProcess* to = controllers_[static_cast<std::size_t>(queue_.uniform(
+                                             0, static_cast<double>(controllers_.size())))]
+                                .get();
     queue_.after(queue_.uniform(copy_least_s_, copy_most_s_), [to, body] {
       if (to->node && !to->cut.workers)
         to->node->handle({"POST", "/agent/beat", body}, [](auto) {});
@@ -253,7 +257,7 @@
   }
   for (auto& each : controllers_) {
     if (each->name != node) continue;
-    Controller* to = each.get();
+    ControllerProcess* to = each.get();
     const bool inside = from.place().zone == zone_apart_;
     if (!zone_apart_.empty() && inside != (to->settings.zone == zone_apart_)) return;
     if (to->cut.workers) {
@@ -277,13 +281,14 @@
   }
 }
 
-void World::user_call(const std::string& method, const std::string& target, const std::string& body,
-                      std::function<void(HttpResponse)> done) {
-  std::vector<Controller*> up;
+void Simulation::user_call(const std::string& method, const std::string& target,
+                           const std::string& body, std::function<void(HttpResponse)> done) {
+  std::vector<ControllerProcess*> up;
   for (auto& each : controllers_)
     if (each->node && !each->cut.users) up.push_back(each.get());
   if (up.empty()) return queue_.after(0.5, [done] { done({}); });
-  Controller* to = up[static_cast<std::size_t>(queue_.uniform(0, static_cast<double>(up.size())))];
+  ControllerProcess* to =
+      up[static_cast<std::size_t>(queue_.uniform(0, static_cast<double>(up.size())))];
   auto settled = std::make_shared<bool>(false);
   const auto settle = [settled, done = std::move(done)](HttpResponse response) {
     if (!std::exchange(*settled, true)) done(std::move(response));
@@ -305,7 +310,7 @@
     if (method == "GET" || !queue_.chance(repeat_share_)) return;
     // Submissions and cancellations that were carried out come once more, at any node.
     queue_.after(queue_.uniform(repeat_least_s_, repeat_most_s_), [this, method, target, body] {
-      Controller& other = *controllers_[static_cast<std::size_t>(
+      ControllerProcess& other = *controllers_[static_cast<std::size_t>(
           queue_.uniform(0, static_cast<double>(controllers_.size())))];
       other.arrive([&other, method, target, body] {
         if (other.node) other.node->handle({method, target, body}, [](auto) {});
@@ -316,31 +321,31 @@
 
 // --- users ---
 
-void World::submit(const protocol::JobSpec& job) {
-  rules_.submitted(job);
+void Simulation::submit(const protocol::JobSpec& job) {
+  invariants_.submitted(job);
   bodies_[job.id] = protocol::encode_submission(job).dump();
   resubmit(job.id);
 }
 
-void World::resubmit(const std::string& id) {
+void Simulation::resubmit(const std::string& id) {
   user_call("POST", "/submissions", bodies_[id], [this, id](const HttpResponse& response) {
     if (response.status == 201 || response.status == 200) {
       const auto stage = protocol::parse_object(response.body).at("stage").get<std::string>();
-      rules_.told(id, response.status, stage, false);
+      invariants_.told(id, response.status, stage, false);
       return queue_.after(poll_every_s, [this, id] { poll(id); });
     }
-    rules_.told(id, response.status, "", false);
+    invariants_.told(id, response.status, "", false);
     if (response.status == 400 || response.status == 422) return;
     queue_.after(retry_after_s, [this, id] { resubmit(id); });
   });
 }
 
-void World::poll(const std::string& id) {
-  rules_.asked(id);
+void Simulation::poll(const std::string& id) {
+  invariants_.asked(id);
   user_call("GET", "/submissions/" + id, "", [this, id](const HttpResponse& response) {
     std::string stage;
     if (response.status == 200) stage = protocol::parse_object(response.body).at("stage");
-    rules_.told(id, response.status, stage, true);
+    invariants_.told(id, response.status, stage, true);
     if (stage == "done" || stage == "aborted") finished_.insert(id);
     // Users ask again later too, though more seldom.
     const double next = finished_.contains(id) ? 10 * poll_every_s : poll_every_s;
@@ -348,29 +353,29 @@
   });
 }
 
-void World::cancel(const std::string& id) {
+void Simulation::cancel(const std::string& id) {
   cancelling_.insert(id);
   user_call("POST", "/submissions/" + id + "/cancel", "", [this, id](const HttpResponse& response) {
-    if (response.status == 404) return rules_.told(id, 404, "", true);
+    if (response.status == 404) return invariants_.told(id, 404, "", true);
     if (response.status != 200) return queue_.after(retry_after_s, [this, id] { cancel(id); });
     const auto stage = protocol::parse_object(response.body).at("stage").get<std::string>();
-    if (stage == "aborted") rules_.told_cancelled(id);
-    rules_.told(id, 200, stage, true);
+    if (stage == "aborted") invariants_.told_cancelled(id);
+    invariants_.told(id, 200, stage, true);
   });
 }
 
-void World::ask_unknown(const std::string& id) {
+void Simulation::ask_unknown(const std::string& id) {
   user_call("GET", "/submissions/" + id, "", [this, id](const HttpResponse& response) {
-    rules_.told(id, response.status, "?", true);
+    invariants_.told(id, response.status, "?", true);
   });
 }
 
-void World::cancel_running(int count, const std::string& job_class, double hang_s) {
+void Simulation::cancel_running(int count, const std::string& job_class, double hang_s) {
   std::set<std::string> hanging;
-  for (const auto& id : std::set<std::string>(rules_.accepted())) {
+  for (const auto& id : std::set<std::string>(invariants_.accepted())) {
     if (count == 0) break;
-    const bool fits = job_class.empty() || rules_.job(id)->job_class == job_class;
-    const auto machines = rules_.machines_of(id);
+    const bool fits = job_class.empty() || invariants_.job(id)->job_class == job_class;
+    const auto machines = invariants_.machines_of(id);
     if (!fits || cancelling_.contains(id) || machines.empty()) continue;
     --count;
     cancel(id);
@@ -382,32 +387,32 @@
     if (left-- > 0 && workers_.contains(machine)) workers_[machine]->hang(hang_s);
 }
 
-void World::cancel_at_end(double share, double for_s) {
+void Simulation::cancel_at_end(double share, double for_s) {
   set_for(cancel_at_end_, share, for_s);
-  rules_.on_last_task([this](const std::string& id) {
+  invariants_.on_last_task([this](const std::string& id) {
     if (!cancelling_.contains(id) && queue_.chance(cancel_at_end_))
       queue_.after(queue_.uniform(0, 0.01), [this, id] { cancel(id); });
   });
 }
 
-void World::odd_requests(double for_s) {
+void Simulation::odd_requests(double for_s) {
   odd_until_ = queue_.now() + for_s;
   odd_request(0);
 }
 
-void World::odd_request(int turn) {
+void Simulation::odd_request(int turn) {
   if (queue_.now() > odd_until_ || bodies_.empty()) return;
   queue_.after(odd_every_s, [this, turn] { odd_request(turn + 1); });
   auto chosen = std::next(
       bodies_.begin(), static_cast<long>(queue_.uniform(0, static_cast<double>(bodies_.size()))));
   const std::string id = chosen->first;
   if (turn % 3 == 0) {
-    if (!rules_.accepted().contains(id)) return;
+    if (!invariants_.accepted().contains(id)) return;
     if (finished_.contains(id)) return cancel(id);
     return user_call("POST", "/submissions", chosen->second, [this, id](const HttpResponse& got) {
       std::string stage;
       if (got.status == 200) stage = protocol::parse_object(got.body).at("stage");
-      rules_.told(id, got.status, stage, false);
+      invariants_.told(id, got.status, stage, false);
     });
   }
   protocol::Json body = protocol::parse_object(chosen->second);
@@ -425,13 +430,13 @@
     body.erase(what.substr(0, what.find(' ')));
   }
   user_call("POST", "/submissions", body.dump(), [this, what](const HttpResponse& got) {
-    if (got.status == 200 || got.status == 201) rules_.wrongly_accepted(what);
+    if (got.status == 200 || got.status == 201) invariants_.wrongly_accepted(what);
   });
 }
 
-std::string World::any_job(const std::string& job_class, bool finished) const {
+std::string Simulation::any_job(const std::string& job_class, bool finished) const {
   for (const auto& [id, body] : bodies_)
-    if (rules_.job(id)->job_class == job_class && finished_.contains(id) == finished &&
+    if (invariants_.job(id)->job_class == job_class && finished_.contains(id) == finished &&
         (finished || !cancelling_.contains(id)))
       return id;
   return "";
@@ -439,29 +444,29 @@
 
 // --- faults ---
 
-int World::pick_node(const std::string& which) {
+int Simulation::pick_node(const std::string& which) {
   if (which == "leader") {
     for (auto& each : controllers_)
-      if (each->node && each->node->leads()) return each->number;
+      if (each->node && each->node->is_leader()) return each->number;
   }
   if (which == "follower") {
     for (auto& each : controllers_)
-      if (each->node && !each->node->leads()) return each->number;
+      if (each->node && !each->node->is_leader()) return each->number;
   }
   if (which == "leader" || which == "follower" || which == "any")
     return static_cast<int>(queue_.uniform(0, static_cast<double>(controllers_.size())));
   return std::stoi(which);
 }
 
-std::vector<int> World::all_but(int node) const {
+std::vector<int> Simulation::all_but(int node) const {
   std::vector<int> out;
   for (const auto& each : controllers_)
     if (each->number != node) out.push_back(each->number);
   return out;
 }
 
-void World::crash(int number, double back_after_s) {
-  Controller& self = *controllers_[static_cast<std::size_t>(number)];
+void Simulation::crash(int number, double back_after_s) {
+  ControllerProcess& self = *controllers_[static_cast<std::size_t>(number)];
   if (!self.node) return;
   self.life.reset();
   self.frozen = false;
@@ -472,17 +477,17 @@
   queue_.after(back_after_s, [this, number] { boot(number); });
 }
 
-void World::cut(int number, const Cut& how) {
+void Simulation::cut(int number, const Cut& how) {
   controllers_[static_cast<std::size_t>(number)]->cut = how;
 }
 
-void World::heal(int number) {
-  Controller& self = *controllers_[static_cast<std::size_t>(number)];
+void Simulation::heal(int number) {
+  ControllerProcess& self = *controllers_[static_cast<std::size_t>(number)];
   self.cut = {};
   for (auto& each : std::exchange(self.held, {})) each();
 }
 
-void World::cut_zone(const std::string& zone, bool hold, double for_s) {
+void Simulation::cut_zone(const std::string& zone, bool hold, double for_s) {
   zone_apart_ = zone;
   for (auto& each : controllers_)
     if (each->settings.zone == zone) {
@@ -494,8 +499,8 @@
   queue_.after(for_s, [this] { zone_apart_.clear(); });
 }
 
-void World::freeze(int number, double for_s) {
-  Controller& self = *controllers_[static_cast<std::size_t>(number)];
+void Simulation::freeze(int number, double for_s) {
+  ControllerProcess& self = *controllers_[static_cast<std::size_t>(number)];
   if (!self.node || std::exchange(self.frozen, true)) return;
   queue_.after(for_s, [&self, life = std::weak_ptr<int>(self.life)] {
     if (life.expired()) return;
@@ -507,14 +512,14 @@
   });
 }
 
-void World::repeat_calls(double share, double least_s, double most_s, double for_s) {
+void Simulation::repeat_calls(double share, double least_s, double most_s, double for_s) {
   repeat_share_ = share;
   repeat_least_s_ = least_s;
   repeat_most_s_ = most_s;
   queue_.after(for_s, [this] { repeat_share_ = 0; });
 }
 
-std::vector<Worker*> World::some_workers(int count) {
+std::vector<Worker*> Simulation::some_workers(int count) {
   std::vector<Worker*> out;
   for (auto& [id, each] : workers_) out.push_back(each.get());
   std::shuffle(out.begin(), out.end(), queue_.random);
@@ -522,22 +527,22 @@
   return out;
 }
 
-void World::hang_machines(int count, double for_s) {
+void Simulation::hang_machines(int count, double for_s) {
   for (Worker* each : some_workers(count)) each->hang(for_s);
 }
 
-void World::kill_machines(int count) {
+void Simulation::kill_machines(int count) {
   for (Worker* each : some_workers(count)) cloud_->fail(std::string(each->place().machine));
 }
 
-void World::sicken_machines(int count, double for_s) {
+void Simulation::sicken_machines(int count, double for_s) {
   for (Worker* each : some_workers(count)) {
     each->fail_everything(true);
     queue_.after(for_s, [each] { each->fail_everything(false); });
   }
 }
 
-void World::take_spot(double share, double notice_s) {
+void Simulation::take_spot(double share, double notice_s) {
   std::vector<std::string> ids;
   for (auto& [id, each] : workers_)
     if (each->place().spot && queue_.chance(share)) ids.push_back(id);
@@ -547,7 +552,7 @@
   }
 }
 
-void World::deafen_machines(int count, double for_s) {
+void Simulation::deafen_machines(int count, double for_s) {
   for (Worker* each : some_workers(count)) {
     const std::string id = each->place().machine;
     each->excuse(for_s);
@@ -556,59 +561,59 @@
   }
 }
 
-void World::copy_reports(double share, double least_s, double most_s, double for_s) {
+void Simulation::copy_reports(double share, double least_s, double most_s, double for_s) {
   copy_share_ = share;
   copy_least_s_ = least_s;
   copy_most_s_ = most_s;
   queue_.after(for_s, [this] { copy_share_ = 0; });
 }
 
-void World::mute_machines(int count, double for_s) {
+void Simulation::mute_machines(int count, double for_s) {
   for (Worker* each : some_workers(count)) each->mute(for_s);
 }
 
-void World::set_for(double& knob, double value, double for_s) {
+void Simulation::set_for(double& knob, double value, double for_s) {
   const double usual = std::exchange(knob, value);
   queue_.after(for_s, [&knob, usual] { knob = usual; });
 }
 
-void World::late_writes(double share, double for_s) { set_for(late_writes_, share, for_s); }
+void Simulation::late_writes(double share, double for_s) { set_for(late_writes_, share, for_s); }
 
-void World::slow_state(double share, double by_s, double for_s) {
+void Simulation::slow_state(double share, double by_s, double for_s) {
   slow_by_s_ = by_s;
   set_for(slow_share_, share, for_s);
 }
 
-void World::lose_answers(double share, double for_s) {
+void Simulation::lose_answers(double share, double for_s) {
   set_for(settings_.lose_answers, share, for_s);
 }
 
-void World::slow_frames(double by_s, double for_s) { set_for(slow_frames_by_s_, by_s, for_s); }
+void Simulation::slow_frames(double by_s, double for_s) { set_for(slow_frames_by_s_, by_s, for_s); }
 
-void World::slow_reports(double share, double by_s, double for_s) {
+void Simulation::slow_reports(double share, double by_s, double for_s) {
   slow_reports_by_s_ = by_s;
   set_for(slow_reports_, share, for_s);
 }
 
-std::uint64_t World::lapses() const {
+std::uint64_t Simulation::lapses() const {
   std::uint64_t out = lapses_gone_;
   for (const auto& [id, each] : workers_) out += each->lapses();
   return out;
 }
 
-void World::cut_next_winner(const Cut& cut, double for_s) {
+void Simulation::cut_next_winner(const Cut& cut, double for_s) {
   winners_cut_ = cut;
   cut_winner_s_ = for_s;
 }
 
-void World::look_for_waiting_jobs() {
+void Simulation::look_for_waiting_jobs() {
   queue_.after(waiting_look_s, [this] { look_for_waiting_jobs(); });
-  for (const auto& id : rules_.accepted())
-    rules_.waits(id, rules_.waits_within_limit(id) ? waits_beside(id) : "");
+  for (const auto& id : invariants_.accepted())
+    invariants_.waits(id, invariants_.waits_within_limit(id) ? waits_beside(id) : "");
 }
 
-std::string World::waits_beside(const std::string& id) const {
-  const protocol::JobSpec& spec = *rules_.job(id);
+std::string Simulation::waits_beside(const std::string& id) const {
+  const protocol::JobSpec& spec = *invariants_.job(id);
   const std::int64_t needed = spec.kind == protocol::JobKind::gang ? spec.tasks : 1;
   std::map<std::string, std::int64_t> room;  // by zone, where it must be one
   for (const auto& [machine, worker] : workers_) {
@@ -619,23 +624,23 @@
   return "";
 }
 
-void World::sweep() {
-  rules_.sweep();
+void Simulation::sweep() {
+  invariants_.sweep();
   if (crash_winner_ >= 0)
     for (auto& each : controllers_)
-      if (each->node && each->node->leads()) {
+      if (each->node && each->node->is_leader()) {
         crash(each->number, std::exchange(crash_winner_, -1));
         break;
       }
   if (freeze_winner_s_ >= 0)
     for (auto& each : controllers_)
-      if (each->node && !each->frozen && each->node->leads()) {
+      if (each->node && !each->frozen && each->node->is_leader()) {
         freeze(each->number, std::exchange(freeze_winner_s_, -1));
         break;
       }
   if (cut_winner_s_ >= 0)
     for (auto& each : controllers_)
-      if (each->node && each->node->leads()) {
+      if (each->node && each->node->is_leader()) {
         const int number = each->number;
         cut(number, winners_cut_);
         queue_.after(std::exchange(cut_winner_s_, -1), [this, number] { heal(number); });
--- a/tests/simulation/simulation.hpp
+++ b/tests/simulation/simulation.hpp
@@ -18,10 +18,10 @@
 
 namespace poppystile::simulation {
 
-struct WorldSettings {
+struct SimulationSettings {
   int nodes = 3;
   std::uint64_t seed = 1;
-  double report_s = 1, lease_s = 10, cancel_s = 35;
+  double heartbeat_interval_s = 1, lease_s = 10, cancel_s = 35;
   double state_rps = 250, state_write_rps = 40;
   int txn_ops = 32;
   // Of the settings' `state.next`; the nodes know them from the start.
@@ -41,14 +41,14 @@
   bool refuse = false;  // the state service answers 503; its open watches wait
 };
 
-class World {
+class Simulation {
  public:
-  explicit World(const WorldSettings& settings);
-  ~World();
+  explicit Simulation(const SimulationSettings& settings);
+  ~Simulation();
 
   EventQueue& queue() { return queue_; }
   Cloud& cloud() { return *cloud_; }
-  Rules& rules() { return rules_; }
+  InvariantChecker& invariants() { return invariants_; }
   Gangs& gangs() { return gangs_; }
   void start();
 
@@ -109,7 +109,7 @@
   // The same, but it stands still.
   void freeze_next_winner(double for_s) { freeze_winner_s_ = for_s; }
 
-  std::size_t accepted() const { return rules_.accepted_jobs(); }
+  std::size_t accepted() const { return invariants_.accepted_jobs(); }
   std::uint64_t state_refused() const { return state_->refused(); }
   std::uint64_t state_invalid() const { return state_->invalid(); }
   std::uint64_t state_requests() const { return state_->requests(); }
@@ -117,11 +117,11 @@
   // Releases asked for by a node while another led under a higher token.
   std::uint64_t stale_releases() const { return stale_releases_; }
   // Answers with starts that deaf machines did not hear.
-  std::uint64_t unheard_starts() const { return unheard_starts_; }
+  std::uint64_t max_unacknowledged_starts() const { return unheard_starts_; }
   std::uint64_t lapses() const;  // leases that ended on machines that were neither hung nor deaf
 
  private:
-  struct Controller;
+  struct ControllerProcess;
 
   void boot(int node);
   void user_call(const std::string& method, const std::string& target, const std::string& body,
@@ -138,13 +138,13 @@
   // Spells of the same kind must not overlap, or touch: the end of one would undo the next.
   void set_for(double& knob, double value, double for_s);
 
-  WorldSettings settings_;
+  SimulationSettings settings_;
   EventQueue queue_;
-  Rules rules_;
+  InvariantChecker invariants_;
   Gangs gangs_;
   std::unique_ptr<StateService> state_;
   std::unique_ptr<Cloud> cloud_;
-  std::vector<std::unique_ptr<Controller>> controllers_;
+  std::vector<std::unique_ptr<ControllerProcess>> controllers_;
   std::map<std::string, std::unique_ptr<Worker>> workers_;
   std::vector<std::unique_ptr<Worker>> gone_;
   std::map<std::string, std::string> bodies_;
--- a/tests/simulation/state_service.cpp
+++ b/tests/simulation/state_service.cpp
@@ -67,7 +67,7 @@
   }
   ++requests_;
   const std::string path = request.target.substr(0, request.target.find('?'));
-  if (path == "/multi") return transact(request.body, reply);
+  if (path == "/multi") return compare_and_swap(request.body, reply);
   if (path == "/follow") return watch(query_of(request.target), reply);
   if (path.starts_with("/grants")) return grant(request, reply);
   if (path == "/keys") return list(query_of(request.target), reply);
@@ -99,11 +99,11 @@
   reply({200, Json{{"entries", entries}, {"more", more}, {"epoch", revision_}}.dump()});
 }
 
-void StateService::transact(const std::string& body, const Reply& reply) {
+void StateService::compare_and_swap(const std::string& body, const Reply& reply) {
   const Json root = protocol::parse_object(body);
   const Json when = root.value("when", Json::array());
   const Json apply = root.value("apply", Json::array());
-  if (too_large(body, when, apply)) {
+  if (record_too_large(body, when, apply)) {
     ++invalid_;
     return reply({400, R"({"error":"too large"})"});
   }
@@ -134,7 +134,8 @@
   reply({200, Json{{"epoch", revision_}}.dump()});
 }
 
-bool StateService::too_large(const std::string& body, const Json& when, const Json& apply) const {
+bool StateService::record_too_large(const std::string& body, const Json& when,
+                                    const Json& apply) const {
   const auto max_changes = static_cast<std::size_t>(txn_ops_);
   if (body.size() > most_body || apply.size() > max_changes || when.size() > 4 * max_changes)
     return true;
--- a/tests/simulation/state_service.hpp
+++ b/tests/simulation/state_service.hpp
@@ -55,8 +55,8 @@
   };
 
   bool spend(double& left, double& at, double rate, double amount);
-  void transact(const std::string& body, const Reply& reply);
-  bool too_large(const std::string& body, const Json& when, const Json& apply) const;
+  void compare_and_swap(const std::string& body, const Reply& reply);
+  bool record_too_large(const std::string& body, const Json& when, const Json& apply) const;
   void put(const std::string& key, const Json& value, std::uint64_t lease);
   void erase(const std::string& key);
   void list(const std::map<std::string, std::string>& query, const Reply& reply);
--- a/tests/simulation/worker.cpp
+++ b/tests/simulation/worker.cpp
@@ -15,11 +15,11 @@
 constexpr double lease_look_s = 0.1;     // how often the lease is looked at
 }  // namespace
 
-Worker::Worker(EventQueue& queue, Rules& rules, Gangs& gangs, const Place& place,
+Worker::Worker(EventQueue& queue, InvariantChecker& invariants, Gangs& gangs, const Place& place,
                const protocol::MachineType& type, const WorkerTimes& times,
                std::vector<std::string> nodes, Send send)
     : queue_(queue),
-      rules_(rules),
+      invariants_(invariants),
       gangs_(gangs),
       place_(place),
       type_(type),
@@ -41,7 +41,7 @@
 }
 
 void Worker::remove(const Task& task) {
-  rules_.off_machine(task.job, task.index, place_.machine);
+  invariants_.off_machine(task.job, task.index, place_.machine);
   if (is_gang(task)) gangs_.leave(task.job, task.attempt, task.index);
 }
 
@@ -124,14 +124,15 @@
 void Worker::report() {
   if (hanging()) return report_soon(hung_until_ - queue_.now() + 0.01);
   const std::uint64_t number = in_flight_ = ++reports_;
-  const std::uint64_t session = session_;
+  const std::uint64_t incarnation = session_;
   const double sent = last_report_ = queue_.now();
   // What is due is counted all the same: a report that cannot leave has its number.
   const std::string sheet = body();
   if (queue_.now() >= mute_until_)
-    send_(nodes_[node_], *this, sheet, [this, number, session, sent](const HttpResponse& response) {
-      if (alive_ && !hanging()) answered(number, session, sent, response);
-    });
+    send_(nodes_[node_], *this, sheet,
+          [this, number, incarnation, sent](const HttpResponse& response) {
+            if (alive_ && !hanging()) answered(number, incarnation, sent, response);
+          });
   queue_.after(answer_within_s, [this, number] {
     if (!alive_ || in_flight_ != number) return;
     in_flight_ = 0;
@@ -144,7 +145,7 @@
   report_soon(next_node_after_s);
 }
 
-void Worker::answered(std::uint64_t number, std::uint64_t session, double sent,
+void Worker::answered(std::uint64_t number, std::uint64_t incarnation, double sent,
                       const HttpResponse& response) {
   if (in_flight_ != number) return;  // given up on
   in_flight_ = 0;
@@ -159,8 +160,8 @@
   if (response.status != 200) return next_node();
   const Json root = protocol::parse_object(response.body);
   const std::uint64_t token = root.at("baton");
-  report_soon(times_.report_s * queue_.uniform(0.75, 1.25));
-  if (token < token_ || session != session_) return;
+  report_soon(times_.heartbeat_interval_s * queue_.uniform(0.75, 1.25));
+  if (token < token_ || incarnation != session_) return;
   const bool newer = token > token_;
   token_ = token;
   lease_from_ = sent;
@@ -210,7 +211,7 @@
     if (each.attempt == attempt) return;
     busy = busy || each.stage != "exited";
   }
-  const protocol::JobSpec* spec = rules_.job(task.job);
+  const protocol::JobSpec* spec = invariants_.job(task.job);
   const std::string refused = spec == nullptr ? "unknown" : busy ? "busy" : "";
   if (!refused.empty() || !spec->each.fits(room())) {
     task.stage = "exited";
@@ -241,17 +242,18 @@
   Task* task = by_life(life);
   if (!alive_ || task == nullptr) return;
   if (hanging()) return queue_.at(hung_until_ + 0.01, [this, life] { image_there(life); });
-  if (rules_.is_completed(task->job, task->index)) return leave(*task, "done");
-  rules_.on_machine(task->job, task->index, place_);
+  if (invariants_.is_completed(task->job, task->index)) return leave(*task, "done");
+  invariants_.on_machine(task->job, task->index, place_);
   if (is_gang(*task)) {
     task->stage = "waiting";
     gangs_.join(task->job, task->attempt, task->index, *this, life);
     return changed();
   }
   task->stage = "running";
-  if (sick_ || rules_.is_mistaken(task->job)) {
+  if (sick_ || invariants_.is_mistaken(task->job)) {
     queue_.after(0.5, [this, life] { finish(life, "error"); });
-  } else if (const auto* spec = rules_.job(task->job); spec->kind == protocol::JobKind::array) {
+  } else if (const auto* spec = invariants_.job(task->job);
+             spec->kind == protocol::JobKind::array) {
     queue_.after(spec->estimate_s * queue_.uniform(0.6, 1.4),
                  [this, life] { finish(life, "done"); });
   }
@@ -262,7 +264,7 @@
   Task* task = by_life(life);
   if (task == nullptr) return;
   task->stage = "running";
-  if (sick_ || rules_.is_mistaken(task->job))
+  if (sick_ || invariants_.is_mistaken(task->job))
     queue_.after(0.5, [this, life] { finish(life, "error"); });
   changed();
 }
@@ -281,7 +283,7 @@
   Task* task = by_life(life);
   if (!alive_ || task == nullptr) return;
   if (hanging()) return queue_.at(hung_until_ + 0.01, [this, life, cause] { finish(life, cause); });
-  if (cause == "done") rules_.completed(task->job, task->index);
+  if (cause == "done") invariants_.completed(task->job, task->index);
   leave(*task, cause);
 }
 
--- a/tests/simulation/worker.hpp
+++ b/tests/simulation/worker.hpp
@@ -16,7 +16,7 @@
 namespace poppystile::simulation {
 
 struct WorkerTimes {
-  double report_s = 1;
+  double heartbeat_interval_s = 1;
   double lease_s = 10;
 };
 
@@ -26,7 +26,7 @@
   // Sends a report to a node; the network decides what becomes of it.
   using Send = std::function<void(const std::string& node, const Worker& from, std::string body,
                                   Reply reply)>;
-  Worker(EventQueue& queue, Rules& rules, Gangs& gangs, const Place& place,
+  Worker(EventQueue& queue, InvariantChecker& invariants, Gangs& gangs, const Place& place,
          const protocol::MachineType& type, const WorkerTimes& times,
          std::vector<std::string> nodes, Send send);
   void start();
@@ -64,14 +64,15 @@
   void end_gang_task(std::uint64_t life, const std::string& cause, bool stored) override;
   bool is_hanging() const override { return hanging(); }
   bool is_gang(const Task& task) const {
-    return rules_.job(task.job) != nullptr && rules_.job(task.job)->kind == protocol::JobKind::gang;
+    return invariants_.job(task.job) != nullptr &&
+           invariants_.job(task.job)->kind == protocol::JobKind::gang;
   }
   void remove(const Task& task);
 
   bool hanging() const { return queue_.now() < hung_until_; }
   void report_soon(double delay);
   void report();
-  void answered(std::uint64_t number, std::uint64_t session, double sent,
+  void answered(std::uint64_t number, std::uint64_t incarnation, double sent,
                 const transport::HttpResponse& response);
   void next_node();
   void command(const Json& order);
@@ -87,7 +88,7 @@
   void changed();
 
   EventQueue& queue_;
-  Rules& rules_;
+  InvariantChecker& invariants_;
   Gangs& gangs_;
   Place place_;
   protocol::MachineType type_;
--- a/tests/unit/autoscaler_test.cpp
+++ b/tests/unit/autoscaler_test.cpp
@@ -16,11 +16,11 @@
     context.types = &types;
     context.teams = &teams;
   }
-  Model model;
+  ClusterState cluster_state;
   const std::vector<protocol::MachineType> types = {
       {"t", {16000, 0, 64000}, 50, 1, 1.0, 0.3, 20, {"a"}}};
   const std::vector<protocol::TeamSettings> teams = {{"ops", 0, 0, 0, 0}};
-  FleetContext context;
+  ScalingContext context;
 };
 
 // One type that boots quickly, and one that is cheaper for its size and slow.
@@ -40,22 +40,23 @@
   // How many machines of each type the plan rents.
   std::map<std::string, int> rented() const {
     std::map<std::string, int> out;
-    for (const auto& each : plan_fleet(model, context).hire) out[each.offer.type] += each.count;
+    for (const auto& each : plan_scaling(cluster_state, context).rent)
+      out[each.offer.type] += each.count;
     return out;
   }
-  Model model;
+  ClusterState cluster_state;
   const std::vector<protocol::MachineType> types = {
       {"quick", {16000, 0, 64000}, 50, 1, 0.9, 0.3, 35, {"a"}},
       {"slow", {32000, 0, 64000}, 50, 0.2, 1.4, 0.4, 50, {"a", "b"}}};
   const std::vector<protocol::TeamSettings> teams = {{"ops", 0, 0, 0, 0}};
-  FleetContext context;
+  ScalingContext context;
 };
 
 // Replicas that wait are worth the quicker type, however many of it there are already: a mixed
 // fleet once kept half of a burst waiting for slow boots.
 TEST_F(TwoTypes, WaitingReplicasGetTheQuickType) {
   context.service_reserve = 0;
-  for (int i = 0; i < 40; ++i) add(model, replica("req-" + std::to_string(i)));
+  for (int i = 0; i < 40; ++i) add(cluster_state, replica("req-" + std::to_string(i)));
   EXPECT_EQ(rented(), (std::map<std::string, int>{{"quick", 10}}));
 }
 
@@ -63,10 +64,10 @@
 // burst, one second's reserve after the other. Without a burst the cheaper type serves.
 TEST_F(TwoTypes, TheReserveIsQuickOnlyWhileReplicasWait) {
   context.service_reserve = 0.5;
-  for (int i = 0; i < 8; ++i) add(model, replica("req-" + std::to_string(i)));
+  for (int i = 0; i < 8; ++i) add(cluster_state, replica("req-" + std::to_string(i)));
   EXPECT_EQ(rented(), (std::map<std::string, int>{{"quick", 3}}));
-  Machine& machine = add(model, "a1", 32);
-  for (auto& [id, job] : model.jobs) model.place(machine, job, 1, 0);
+  Machine& machine = add(cluster_state, "a1", 32);
+  for (auto& [id, job] : cluster_state.jobs) cluster_state.place(machine, job, 1, 0);
   EXPECT_EQ(rented(), (std::map<std::string, int>{{"slow", 1}}));
 }
 
@@ -74,12 +75,12 @@
 // times.
 TEST_F(TwoTypes, WhatIsOverdueIsRentedAgainInAnotherType) {
   context.service_reserve = 0;
-  for (int i = 0; i < 4; ++i) add(model, replica("req-" + std::to_string(i)));
-  Machine& booting = add(model, "a1", 16);
+  for (int i = 0; i < 4; ++i) add(cluster_state, replica("req-" + std::to_string(i)));
+  Machine& booting = add(cluster_state, "a1", 16);
   booting.type = "quick";
   booting.boot_s = 35;
-  booting.session = 0;
-  booting.heard = booting.confirmed = false;
+  booting.incarnation = 0;
+  booting.has_reported = booting.has_acknowledged_token = false;
   context.now_wall_s = 50;
   EXPECT_TRUE(rented().empty());
   context.now_wall_s = 53;
@@ -89,25 +90,25 @@
 // A machine whose replicas fit nowhere else never runs empty; what waited for its room, where
 // nothing could be rented, waited for ever.
 TEST_F(OneType, ADrainingMachineTakesWhatCannotBeRented) {
-  add(model, spec("req-1", JobKind::array, 4, Priority::normal));
-  Machine& draining = add(model, "a1", 16);
+  add(cluster_state, spec("req-1", JobKind::array, 4, Priority::normal));
+  Machine& draining = add(cluster_state, "a1", 16);
   draining.draining = true;
   context.refused = {{"t", "a", true}, {"t", "a", false}};
-  EXPECT_EQ(plan_fleet(model, context).undrain, std::vector<std::string>{"a1"});
-  model.jobs.at("req-1").record.spec.zone = "b";
-  EXPECT_TRUE(plan_fleet(model, context).undrain.empty());
+  EXPECT_EQ(plan_scaling(cluster_state, context).uncordon, std::vector<std::string>{"a1"});
+  cluster_state.jobs.at("req-1").record.spec.zone = "b";
+  EXPECT_TRUE(plan_scaling(cluster_state, context).uncordon.empty());
 }
 
 TEST_F(OneType, RentsTheCheapestAllowedAndSkipsWhatWasRefused) {
   JobSpec job = spec("req-1", JobKind::array, 8, Priority::normal);
-  add(model, job);
-  const FleetPlan first = plan_fleet(model, context);
-  ASSERT_EQ(first.hire.size(), 1u);
-  EXPECT_TRUE(first.hire[0].offer.spot);
-  context.refused.insert(first.hire[0].offer);
-  const FleetPlan second = plan_fleet(model, context);
-  ASSERT_EQ(second.hire.size(), 1u);
-  EXPECT_FALSE(second.hire[0].offer.spot);
+  add(cluster_state, job);
+  const ScalingPlan first = plan_scaling(cluster_state, context);
+  ASSERT_EQ(first.rent.size(), 1u);
+  EXPECT_TRUE(first.rent[0].offer.spot);
+  context.refused.insert(first.rent[0].offer);
+  const ScalingPlan second = plan_scaling(cluster_state, context);
+  ASSERT_EQ(second.rent.size(), 1u);
+  EXPECT_FALSE(second.rent[0].offer.spot);
 }
 
 }  // namespace
--- a/tests/unit/codec_test.cpp
+++ b/tests/unit/codec_test.cpp
@@ -87,8 +87,8 @@
             protocol::encode_submission(protocol::parse_submission(without)));
 }
 
-TEST(Report, ReadsTheProtocolsExample) {
-  const auto parsed = protocol::parse_report(report);
+TEST(Heartbeat, ReadsTheProtocolsExample) {
+  const auto parsed = protocol::parse_heartbeat(report);
   EXPECT_EQ(parsed.token, 41u);
   ASSERT_EQ(parsed.tasks.size(), 2u);
   EXPECT_EQ(parsed.tasks[0].job, "req-000412");
@@ -96,7 +96,7 @@
   EXPECT_EQ(parsed.tasks[1].cause, protocol::ExitCause::done);
 }
 
-TEST(Report, TellsTheStatesOfAGangsTasks) {
+TEST(Heartbeat, TellsTheStatesOfAGangsTasks) {
   Json body = Json::parse(report);
   const Json exited = {{"piece", "req-1/0"}, {"try", 1}, {"stage", "exited"}};
   body["pieces"] = Json::array({{{"piece", "req-1/3"}, {"try", 2}, {"stage", "waiting"}},
@@ -105,7 +105,7 @@
                                 exited});
   body["pieces"][2]["cause"] = "peers";
   body["pieces"][3]["cause"] = "alone";
-  const auto tasks = protocol::parse_report(body.dump()).tasks;
+  const auto tasks = protocol::parse_heartbeat(body.dump()).tasks;
   EXPECT_EQ(tasks[0].state, protocol::TaskState::waiting);
   EXPECT_EQ(tasks[1].state, protocol::TaskState::running);  // unknown: it occupies its machine
   EXPECT_EQ(tasks[2].cause, protocol::ExitCause::peer_lost);
@@ -132,13 +132,13 @@
 }
 
 TEST(Paths, AreTakenApart) {
-  using What = protocol::UserPath::What;
-  EXPECT_EQ(protocol::parse_path("/submissions").what, What::submit);
-  EXPECT_EQ(protocol::parse_path("/submissions/req-1").id, "req-1");
-  EXPECT_EQ(protocol::parse_path("/submissions/req-1/cancel").what, What::cancel);
-  EXPECT_EQ(protocol::parse_path("/submissions/a/b/c").what, What::none);
-  EXPECT_EQ(protocol::parse_path("/submissions/").what, What::none);
-  EXPECT_EQ(protocol::parse_path("/elsewhere").what, What::none);
+  using What = protocol::Route::What;
+  EXPECT_EQ(protocol::parse_route("/submissions").what, What::submit);
+  EXPECT_EQ(protocol::parse_route("/submissions/req-1").id, "req-1");
+  EXPECT_EQ(protocol::parse_route("/submissions/req-1/cancel").what, What::cancel);
+  EXPECT_EQ(protocol::parse_route("/submissions/a/b/c").what, What::none);
+  EXPECT_EQ(protocol::parse_route("/submissions/").what, What::none);
+  EXPECT_EQ(protocol::parse_route("/elsewhere").what, What::none);
 }
 
 TEST(Catalog, ReadsTheProtocolsExampleAndWritesItAgain) {
@@ -194,12 +194,12 @@
   protocol::PeerStatus status;
   status.name = "stile-1";
   status.incarnation = 77;
-  status.born_wall_s = 1.4e9;
+  status.started_at_wall_s = 1.4e9;
   status.token = 9;
-  status.leading = true;
+  status.is_leader = true;
   status.sent_wall_s = 1.7e9;
   status.state_wall_s = 1.6e9;
-  status.redirected_reports = 12;
+  status.redirected_heartbeats = 12;
   status.counts = {{"req-1", 5, 6}};
   status.cancelled = {"req-7"};
   return status;
@@ -207,18 +207,18 @@
 
 TEST(Peers, RoundTripAndGarbage) {
   protocol::PeerStatus status = peer_status();
-  status.proven_wall_s = 1.5e9;
+  status.fresh_as_of_wall_s = 1.5e9;
   status.all_cancelled = false;
   const std::string frame = protocol::encode_peer_status(status);
   const auto again = protocol::decode_peer_status(frame);
   ASSERT_TRUE(again.has_value());
   EXPECT_EQ(again->counts.at(0).running, 6u);
   EXPECT_EQ(again->sent_wall_s, 1.7e9);
-  EXPECT_EQ(again->redirected_reports, 12u);
+  EXPECT_EQ(again->redirected_heartbeats, 12u);
   EXPECT_EQ(again->incarnation, 77u);
-  EXPECT_EQ(again->born_wall_s, 1.4e9);
+  EXPECT_EQ(again->started_at_wall_s, 1.4e9);
   EXPECT_EQ(again->state_wall_s, 1.6e9);
-  EXPECT_EQ(again->proven_wall_s, 1.5e9);
+  EXPECT_EQ(again->fresh_as_of_wall_s, 1.5e9);
   EXPECT_FALSE(again->all_cancelled);
   EXPECT_EQ(again->cancelled.at(0), "req-7");
   EXPECT_FALSE(protocol::decode_peer_status("").has_value());
@@ -241,21 +241,21 @@
   const std::string machine_list =
       R"({"stiles":[{"id":"n-1","build":"g8","yard":"a","loaners":true,"stage":"running","held_s":6}],"more":false})";
   const std::string segment =
-      storage::encode_part(1, 1,
-                           {storage::known_entry("n-1", "g", "a", false, 1, 2).dump(),
-                            storage::placed_entry("req-1", 3, "n-1", 4).dump()});
+      storage::encode_chunk(1, 1,
+                            {storage::machine_registered_entry("n-1", "g", "a", false, 1, 2).dump(),
+                             storage::task_placed_entry("req-1", 3, "n-1", 4).dump()});
   const std::pair<std::string, std::function<void(const std::string&)>> targets[] = {
       {submission, [](auto& s) { protocol::parse_submission(protocol::parse_object(s)); }},
-      {report, [](auto& s) { protocol::parse_report(s); }},
+      {report, [](auto& s) { protocol::parse_heartbeat(s); }},
       {machine_list, [](auto& s) { protocol::parse_machine_list(s); }},
-      {R"({"stiles":["n-1"]})", [](auto& s) { protocol::parse_hired(s); }},
+      {R"({"stiles":["n-1"]})", [](auto& s) { protocol::parse_rented(s); }},
       {R"({"entries":[{"key":"a","data":{},"stamp":4}],"more":true,"epoch":4})",
        [](auto& s) { protocol::parse_entries(s); }},
       {R"({"epoch":4,"log":[{"remove":"c","stamp":4}]})",
        [](auto& s) { protocol::parse_watch(s); }},
       {segment,
        [](auto& s) {
-         storage::JournalReader reader;
+         storage::JournalReplay reader;
          reader.add(storage::segment_key(1), protocol::parse_object(s));
          reader.replay();
        }},
--- a/tests/unit/controller_test.cpp
+++ b/tests/unit/controller_test.cpp
@@ -18,7 +18,7 @@
 using protocol::PeerStatus;
 using transport::HttpResponse;
 
-struct NoPeers : transport::PeerNet {
+struct NoPeers : transport::PeerTransport {
   void broadcast(const std::string&) override {}
   void on_frame(std::function<void(const std::string&)> handler) override {
     deliver = std::move(handler);
@@ -37,14 +37,14 @@
   void SetUp() override {
     node.start();
     queue.run_until(outage_at_s);
-    ASSERT_TRUE(node.leads());
+    ASSERT_TRUE(node.is_leader());
     service.set_down(true);
   }
 
   static protocol::Settings made_settings() {
     protocol::Settings made;
     made.name = "stile-0";
-    made.siblings = {{"stile-1", "a", {}}, {"stile-2", "b", {}}};
+    made.peers = {{"stile-1", "a", {}}, {"stile-2", "b", {}}};
     made.lease_s = lease_s;
     made.cancel_s = cancel_s;
     made.state_limits.rps = 250;
@@ -58,10 +58,10 @@
     PeerStatus status;
     status.name = name;
     status.incarnation = 7;
-    status.born_wall_s = caller.wall_s() - queue.now();
+    status.started_at_wall_s = caller.wall_s() - queue.now();
     status.token = node.token();
     status.sent_wall_s = caller.wall_s();
-    status.state_wall_s = status.proven_wall_s = caller.wall_s() - queue.now() + outage_at_s;
+    status.state_wall_s = status.fresh_as_of_wall_s = caller.wall_s() - queue.now() + outage_at_s;
     return status;
   }
   void hear(const PeerStatus& status) { peers.deliver(protocol::encode_peer_status(status)); }
@@ -93,11 +93,11 @@
 
   simulation::EventQueue queue{3};
   simulation::StateService service{queue, 250, 40, 32};
-  simulation::LoneCaller caller{queue, service, 0};
+  simulation::FakeHttpCaller caller{queue, service, 0};
   NoPeers peers;
   protocol::Settings settings = made_settings();
   protocol::Properties properties;
-  Node node{caller, caller, peers, settings, properties, 11};
+  Controller node{caller, caller, peers, settings, properties, 11};
   std::uint64_t tick = 0;
 };
 
@@ -137,8 +137,8 @@
   EXPECT_FALSE(answers_after(budget_s + 1, [&](auto& status) {
     if (status.name != "stile-2") return;
     status.incarnation = 8;
-    status.born_wall_s = born;
-    status.proven_wall_s = 0;
+    status.started_at_wall_s = born;
+    status.fresh_as_of_wall_s = 0;
   }));
 }
 
@@ -148,8 +148,8 @@
   EXPECT_TRUE(answers_after(2 * cancel_s, [&](auto& status) {
     if (status.name != "stile-2") return;
     status.incarnation = 8;
-    status.born_wall_s = born;
-    status.proven_wall_s = born + 0.5;
+    status.started_at_wall_s = born;
+    status.fresh_as_of_wall_s = born + 0.5;
   }));
 }
 
@@ -158,10 +158,10 @@
   EXPECT_TRUE(answers_after(2 * cancel_s, [&](auto& status) {
     if (status.name == "stile-2") {
       status.incarnation = 8;
-      status.born_wall_s = born - 5;
-      status.proven_wall_s = 0;
+      status.started_at_wall_s = born - 5;
+      status.fresh_as_of_wall_s = 0;
     } else {
-      status.proven_wall_s = born;
+      status.fresh_as_of_wall_s = born;
     }
   }));
 }
@@ -170,7 +170,7 @@
   PeerStatus status = frame("stile-1");
   ++status.token;
   hear(status);
-  EXPECT_FALSE(node.leads());
+  EXPECT_FALSE(node.is_leader());
 }
 
 }  // namespace
--- a/tests/unit/gang_test.cpp
+++ b/tests/unit/gang_test.cpp
@@ -13,10 +13,10 @@
 namespace poppystile {
 namespace {
 
+using cluster::ClusterState;
 using cluster::GangAttempt;
 using cluster::Job;
 using cluster::Machine;
-using cluster::Model;
 using coordination::GangTracker;
 using planning::add;
 using planning::spec;
@@ -43,28 +43,28 @@
     job.one_zone = true;
     job.checkpoint_s = 10;
     job.save_s = 3;
-    add(model, job);
-    return model.jobs.at(id);
+    add(cluster_state, job);
+    return cluster_state.jobs.at(id);
   }
-  planning::Plan plan() { return planning::make_plan(model, context); }
+  planning::Plan plan() { return planning::make_plan(cluster_state, context); }
   // Carries out what a plan has placed.
   void apply(const planning::Plan& made, std::uint64_t attempt) {
     for (const auto& each : made.placements) {
-      Job& job = model.jobs.at(each.job);
+      Job& job = cluster_state.jobs.at(each.job);
       if (job.is_gang()) GangTracker::on_placed(job, attempt, context.now_s);
-      model.place(model.machines.at(each.machine), job, attempt, context.now_s);
+      cluster_state.place(cluster_state.machines.at(each.machine), job, attempt, context.now_s);
     }
   }
   std::size_t stopping() const {
     std::size_t count = 0;
-    for (const auto& [id, machine] : model.machines)
+    for (const auto& [id, machine] : cluster_state.machines)
       count += static_cast<std::size_t>(
           std::count_if(machine.placements.begin(), machine.placements.end(),
                         [](const auto& each) { return each.stopping; }));
     return count;
   }
 
-  Model model;
+  ClusterState cluster_state;
   std::vector<protocol::TeamSettings> teams = {{"ops", 0, 0, 0, 0}};
   std::vector<protocol::FinishAim> aims;
   planning::PlanningContext context;
@@ -72,21 +72,21 @@
 };
 
 TEST_F(GangTest, IsPlacedWholeInOneZoneOrNotAtAll) {
-  add(model, "a1", 8);
-  add(model, "b1", 8);
+  add(cluster_state, "a1", 8);
+  add(cluster_state, "b1", 8);
   add_gang("req-1", 6);
   EXPECT_TRUE(plan().placements.empty());  // 4 fit in each zone
-  add(model, "b2", 8);
+  add(cluster_state, "b2", 8);
   const auto made = plan();
   ASSERT_EQ(made.placements.size(), 6u);
   for (const auto& each : made.placements) EXPECT_EQ(each.machine[0], 'b');
 }
 
 TEST_F(GangTest, TheZoneWhoseLastImageComesSoonestWins) {
-  add(model, "a1", 8).touch_image("img", 1);
-  add(model, "a2", 8);
-  add(model, "b1", 8).touch_image("img", 1);
-  add(model, "b2", 8).touch_image("img", 1);
+  add(cluster_state, "a1", 8).mark_image_used("img", 1);
+  add(cluster_state, "a2", 8);
+  add(cluster_state, "b1", 8).mark_image_used("img", 1);
+  add(cluster_state, "b2", 8).mark_image_used("img", 1);
   add_gang("req-1", 6);
   const auto made = plan();
   ASSERT_EQ(made.placements.size(), 6u);
@@ -95,7 +95,7 @@
 
 // Given half of the room each, both would wait for the other for ever.
 TEST_F(GangTest, TwoGangsThatFitOnlyOneAtATimeDoNotShareTheRoom) {
-  add(model, "a1", 16);
+  add(cluster_state, "a1", 16);
   add_gang("req-1", 6);
   add_gang("req-2", 6);
   const auto made = plan();
@@ -104,8 +104,8 @@
 }
 
 TEST_F(GangTest, SpreadKeepsHalfElsewhere) {
-  add(model, "a1", 32);
-  add(model, "b1", 32);
+  add(cluster_state, "a1", 32);
+  add(cluster_state, "b1", 32);
   Job& gang = add_gang("req-1", 5);
   gang.record.spec.one_zone = false;
   gang.record.spec.spread = true;
@@ -118,7 +118,7 @@
 
 TEST_F(GangTest, TheTeamsLimitHoldsForAllTasksTogether) {
   teams = {{"ops", 0, 10, 0, 0}};
-  add(model, "a1", 32);
+  add(cluster_state, "a1", 32);
   add_gang("req-1", 6);
   EXPECT_TRUE(plan().placements.empty());
   teams = {{"ops", 0, 12, 0, 0}};
@@ -126,12 +126,13 @@
 }
 
 TEST_F(GangTest, FreeingRoomIsKeptForAGangFromSingleTasks) {
-  add(model, "a1", 8);
-  add(model, "a2", 8);
+  add(cluster_state, "a1", 8);
+  add(cluster_state, "a2", 8);
   Job& gang = add_gang("req-1", 6);
-  add(model, spec("req-2", JobKind::array, 50, Priority::normal));
-  add(model, spec("req-9", JobKind::array, 4, Priority::normal));
-  for (int i = 0; i < 4; ++i) model.place(model.machines.at("a1"), model.jobs.at("req-9"), 1, 0);
+  add(cluster_state, spec("req-2", JobKind::array, 50, Priority::normal));
+  add(cluster_state, spec("req-9", JobKind::array, 4, Priority::normal));
+  for (int i = 0; i < 4; ++i)
+    cluster_state.place(cluster_state.machines.at("a1"), cluster_state.jobs.at("req-9"), 1, 0);
   EXPECT_TRUE(plan().placements.empty());
   // Not for ever.
   gang.record.accepted_wall_s = -50;
@@ -140,21 +141,21 @@
 
 TEST_F(GangTest, ALostTaskIsReplacedUnderTheSameAttemptElsewhere) {
   // The third has room for one task only, no more than the machine that is left: it is no better.
-  add(model, "a1", 4).heard_s = 5;
-  add(model, "a2", 4).heard_s = 5;
-  add(model, "a3", 2).heard_s = 5;
+  add(cluster_state, "a1", 4).last_heartbeat_s = 5;
+  add(cluster_state, "a2", 4).last_heartbeat_s = 5;
+  add(cluster_state, "a3", 2).last_heartbeat_s = 5;
   Job& gang = add_gang("req-1", 4);
   apply(plan(), 77);
   ASSERT_EQ(gang.placements.size(), 4u);
   const std::uint32_t index = gang.placements.begin()->first;
   Machine& left = *gang.placements.begin()->second;
   for (auto& each : left.placements)
-    if (each.index == index) model.vacate(left, each);
+    if (each.index == index) cluster_state.release_resources(left, each);
   gang.requeue(index);
   context.now_s = 6;
   GangTracker::on_task_lost(gang, left.id, 6);
   EXPECT_TRUE(plan().placements.empty());  // the others have not been heard since
-  for (auto& [id, machine] : model.machines) machine.heard_s = 7;
+  for (auto& [id, machine] : cluster_state.machines) machine.last_heartbeat_s = 7;
   const auto made = plan();
   ASSERT_EQ(made.placements.size(), 1u);
   EXPECT_NE(made.placements[0].machine, left.id);
@@ -165,11 +166,11 @@
   GangTracker::on_task_lost(gang, left.id, 8);
   EXPECT_EQ(gang.gang.phase, GangAttempt::Phase::ending);
   EXPECT_EQ(stopping(), 4u);
-  EXPECT_EQ(gang.to_try(), 0u);
+  EXPECT_EQ(gang.schedulable_tasks(), 0u);
 }
 
 TEST_F(GangTest, AnAttemptThatIsNotCompletedInTimeIsGivenUp) {
-  add(model, "a1", 8);
+  add(cluster_state, "a1", 8);
   Job& gang = add_gang("req-1", 4);
   apply(plan(), 77);
   settings.gang_times = protocol::GangTimes{40, 6};
@@ -182,13 +183,13 @@
 }
 
 TEST_F(GangTest, WhatAFormerLeaderNamedInPartIsGivenUp) {
-  Machine& machine = add(model, "a1", 16);
+  Machine& machine = add(cluster_state, "a1", 16);
   Job& whole = add_gang("req-1", 2);
   Job& part = add_gang("req-2", 3);
   Job& mixed = add_gang("req-3", 2);
-  for (std::uint32_t i = 0; i < 2; ++i) model.restore(machine, whole, i, 7, 0);
-  for (std::uint32_t i = 0; i < 2; ++i) model.restore(machine, part, i, 8, 0);
-  for (std::uint32_t i = 0; i < 2; ++i) model.restore(machine, mixed, i, 9 + i, 0);
+  for (std::uint32_t i = 0; i < 2; ++i) cluster_state.restore(machine, whole, i, 7, 0);
+  for (std::uint32_t i = 0; i < 2; ++i) cluster_state.restore(machine, part, i, 8, 0);
+  for (std::uint32_t i = 0; i < 2; ++i) cluster_state.restore(machine, mixed, i, 9 + i, 0);
   for (Job* job : {&whole, &part, &mixed}) GangTracker::on_restored(*job, 0);
   EXPECT_EQ(whole.gang.phase, GangAttempt::Phase::assembling);
   EXPECT_EQ(whole.gang.number, 7u);
@@ -198,25 +199,26 @@
 
 // Stopping one task of a gang loses all of them: several single tasks go first.
 TEST_F(GangTest, SingleTasksArePreemptedBeforeAGang) {
-  Machine& machine = add(model, "a1", 8);
+  Machine& machine = add(cluster_state, "a1", 8);
   Job& gang = add_gang("req-1", 2);
   Job& array = [&]() -> Job& {
-    add(model, spec("req-2", JobKind::array, 2, Priority::normal));
-    return model.jobs.at("req-2");
+    add(cluster_state, spec("req-2", JobKind::array, 2, Priority::normal));
+    return cluster_state.jobs.at("req-2");
   }();
-  for (std::uint32_t i = 0; i < 2; ++i) model.restore(machine, array, i, 1, 0);
-  for (std::uint32_t i = 0; i < 2; ++i) model.restore(machine, gang, i, 2, 9);
+  for (std::uint32_t i = 0; i < 2; ++i) cluster_state.restore(machine, array, i, 1, 0);
+  for (std::uint32_t i = 0; i < 2; ++i) cluster_state.restore(machine, gang, i, 2, 9);
   GangTracker::on_restored(gang, 9);
-  add(model, spec("req-3", JobKind::service, 1, Priority::production));
+  add(cluster_state, spec("req-3", JobKind::service, 1, Priority::production));
   const auto made = plan();
   ASSERT_EQ(made.stops.size(), 1u);
   EXPECT_EQ(made.stops[0].job, "req-2");
 }
 
 TEST_F(GangTest, AGangMakesRoomForAllItsTasksOrStopsNobody) {
-  Machine& machine = add(model, "a1", 8);
-  add(model, spec("req-2", JobKind::array, 4, Priority::low));
-  for (std::uint32_t i = 0; i < 4; ++i) model.restore(machine, model.jobs.at("req-2"), i, 1, 0);
+  Machine& machine = add(cluster_state, "a1", 8);
+  add(cluster_state, spec("req-2", JobKind::array, 4, Priority::low));
+  for (std::uint32_t i = 0; i < 4; ++i)
+    cluster_state.restore(machine, cluster_state.jobs.at("req-2"), i, 1, 0);
   Job& gang = add_gang("req-1", 5);
   EXPECT_TRUE(plan().stops.empty());
   gang.record.spec.tasks = 3;
--- a/tests/unit/job_api_test.cpp
+++ b/tests/unit/job_api_test.cpp
@@ -46,7 +46,7 @@
     return got;
   }
 
-  JobApi desk{caller, store, directory, settings, [](const auto&) { return TaskCounts{}; }};
+  JobApi desk{caller, store, shared_state, settings, [](const auto&) { return TaskCounts{}; }};
   double took_s = -1;
 };
 
--- a/tests/unit/journal_test.cpp
+++ b/tests/unit/journal_test.cpp
@@ -18,8 +18,8 @@
   return out;
 }
 
-Ledger replayed(const std::vector<Json>& entries) {
-  Ledger out;
+ReplayedState replay(const std::vector<Json>& entries) {
+  ReplayedState out;
   for (const Json& each : entries) out.apply(each);
   return out;
 }
@@ -31,39 +31,39 @@
   return out;
 }
 
-const std::vector<Json> day = {known_entry("n-1", "g", "a", false, 0, 5),
-                               known_entry("n-2", "g", "b", true, 0, 6),
-                               session_entry("n-1", 1),
-                               session_entry("n-2", 1),
-                               placed_entry("req-1", 7, "n-1", 0),
-                               placed_entry("req-1", 7, "n-1", 1),
-                               placed_entry("req-1", 7, "n-2", 2),
-                               image_entry("n-1", {"img", 2.5}),
-                               finished_entry("req-1", 0),
-                               ended_entry("req-1", 2),
-                               placed_entry("req-1", 9, "n-1", 2),
-                               hire_entry("h-1-1", {"g", "a", true, 4}),
-                               hire_entry("h-1-2", {"g", "b", false, 2}),
-                               hire_settled_entry("h-1-1")};
+const std::vector<Json> day = {machine_registered_entry("n-1", "g", "a", false, 0, 5),
+                               machine_registered_entry("n-2", "g", "b", true, 0, 6),
+                               incarnation_started_entry("n-1", 1),
+                               incarnation_started_entry("n-2", 1),
+                               task_placed_entry("req-1", 7, "n-1", 0),
+                               task_placed_entry("req-1", 7, "n-1", 1),
+                               task_placed_entry("req-1", 7, "n-2", 2),
+                               image_cached_entry("n-1", {"img", 2.5}),
+                               task_finished_entry("req-1", 0),
+                               placement_ended_entry("req-1", 2),
+                               task_placed_entry("req-1", 9, "n-1", 2),
+                               rental_requested_entry("h-1-1", {"g", "a", true, 4}),
+                               rental_requested_entry("h-1-2", {"g", "b", false, 2}),
+                               rental_settled_entry("h-1-1")};
 
 TEST(Journal, ReplayGivesThePresent) {
-  const Ledger ledger = replayed(day);
-  const LedgerJob& job = ledger.jobs.at("req-1");
+  const ReplayedState replayed = replay(day);
+  const ReplayedJob& job = replayed.jobs.at("req-1");
   EXPECT_TRUE(job.is_finished(0));
   EXPECT_EQ(job.placed.at(1).machine, "n-1");
   EXPECT_EQ(job.placed.at(2).machine, "n-1");
   EXPECT_EQ(job.placed.at(2).attempt, 9u);
-  EXPECT_EQ(ledger.machines.at("n-1").tasks.size(), 2u);
-  EXPECT_TRUE(ledger.machines.at("n-2").tasks.empty());
-  EXPECT_EQ(ledger.machines.at("n-1").images.at(0).name, "img");
-  EXPECT_EQ(ledger.rentals.size(), 1u);
+  EXPECT_EQ(replayed.machines.at("n-1").tasks.size(), 2u);
+  EXPECT_TRUE(replayed.machines.at("n-2").tasks.empty());
+  EXPECT_EQ(replayed.machines.at("n-1").images.at(0).name, "img");
+  EXPECT_EQ(replayed.rentals.size(), 1u);
 }
 
 TEST(Journal, MergedEntriesSayTheSame) {
   const auto few = merged(day);
   EXPECT_LT(few.size(), day.size());
-  const Ledger a = replayed(day);
-  const Ledger b = replayed(few);
+  const ReplayedState a = replay(day);
+  const ReplayedState b = replay(few);
   EXPECT_EQ(a.jobs.at("req-1").finished, b.jobs.at("req-1").finished);
   ASSERT_EQ(a.jobs.at("req-1").placed.size(), b.jobs.at("req-1").placed.size());
   for (const auto& [index, task] : a.jobs.at("req-1").placed)
@@ -72,31 +72,31 @@
 
 TEST(Journal, ALaterSessionAndALossEmptyTheMachine) {
   auto entries = day;
-  entries.push_back(session_entry("n-1", 2));
-  EXPECT_TRUE(replayed(entries).jobs.at("req-1").placed.empty());
-  EXPECT_EQ(replayed(entries).machines.at("n-1").session, 2u);
+  entries.push_back(incarnation_started_entry("n-1", 2));
+  EXPECT_TRUE(replay(entries).jobs.at("req-1").placed.empty());
+  EXPECT_EQ(replay(entries).machines.at("n-1").incarnation, 2u);
   entries = day;
-  entries.push_back(gone_entry("n-1"));
-  EXPECT_TRUE(replayed(entries).jobs.at("req-1").placed.empty());
-  EXPECT_FALSE(replayed(entries).machines.contains("n-1"));
+  entries.push_back(machine_removed_entry("n-1"));
+  EXPECT_TRUE(replay(entries).jobs.at("req-1").placed.empty());
+  EXPECT_FALSE(replay(entries).machines.contains("n-1"));
 }
 
 TEST(Journal, WhatHasFinishedIsNeverPlacedAgain) {
   auto entries = day;
-  entries.push_back(placed_entry("req-1", 12, "n-2", 0));
-  EXPECT_FALSE(replayed(entries).jobs.at("req-1").placed.contains(0));
+  entries.push_back(task_placed_entry("req-1", 12, "n-2", 0));
+  EXPECT_FALSE(replay(entries).jobs.at("req-1").placed.contains(0));
 }
 
 TEST(Journal, BitmapsRoundTrip) {
   std::vector<bool> bits(131);
   for (std::size_t i = 0; i < bits.size(); i += 3) bits[i] = true;
-  const Ledger ledger = replayed({finished_bits_entry("req-1", 16, bits)});
+  const ReplayedState replayed = replay({finished_bitmap_entry("req-1", 16, bits)});
   for (std::uint32_t i = 0; i < 160; ++i)
-    EXPECT_EQ(ledger.jobs.at("req-1").is_finished(i), i >= 16 && i < 147 && (i - 16) % 3 == 0);
+    EXPECT_EQ(replayed.jobs.at("req-1").is_finished(i), i >= 16 && i < 147 && (i - 16) % 3 == 0);
 }
 
-JournalReader reader_of(const std::vector<std::pair<std::string, std::string>>& records) {
-  JournalReader reader;
+JournalReplay reader_of(const std::vector<std::pair<std::string, std::string>>& records) {
+  JournalReplay reader;
   for (const auto& [key, value] : records) reader.add(key, protocol::parse_object(value));
   return reader;
 }
@@ -105,21 +105,24 @@
   const std::string head = encode(JournalHead{3, 1, 7}).dump();
   const auto reader = reader_of(
       {{keys::journal_head, head},
-       {snapshot_key(3, 0), encode_part(3, 2, texts({known_entry("n-1", "g", "a", false, 1, 5)}))},
-       {snapshot_key(2, 0), encode_part(2, 2, texts({known_entry("n-9", "g", "a", false, 1, 5)}))},
-       {segment_key(6), encode_part(6, 2, texts({gone_entry("n-1")}))},
-       {segment_key(7), encode_part(7, 2, texts({placed_entry("req-1", 4, "n-1", 0)}))}});
-  const Ledger ledger = reader.replay();
-  EXPECT_TRUE(ledger.machines.contains("n-1"));
-  EXPECT_FALSE(ledger.machines.contains("n-9"));
-  EXPECT_EQ(ledger.machines.at("n-1").tasks.size(), 1u);
+       {snapshot_key(3, 0),
+        encode_chunk(3, 2, texts({machine_registered_entry("n-1", "g", "a", false, 1, 5)}))},
+       {snapshot_key(2, 0),
+        encode_chunk(2, 2, texts({machine_registered_entry("n-9", "g", "a", false, 1, 5)}))},
+       {segment_key(6), encode_chunk(6, 2, texts({machine_removed_entry("n-1")}))},
+       {segment_key(7), encode_chunk(7, 2, texts({task_placed_entry("req-1", 4, "n-1", 0)}))}});
+  const ReplayedState replayed = reader.replay();
+  EXPECT_TRUE(replayed.machines.contains("n-1"));
+  EXPECT_FALSE(replayed.machines.contains("n-9"));
+  EXPECT_EQ(replayed.machines.at("n-1").tasks.size(), 1u);
   EXPECT_EQ(reader.last_segment(), 7u);
 }
 
 // Damage is never read as "nothing is placed".
 TEST(Journal, WhatIsMissingOrUnknownIsRefused) {
   const auto segment = [](std::uint64_t number) {
-    return std::make_pair(segment_key(number), encode_part(number, 1, texts({gone_entry("n-1")})));
+    return std::make_pair(segment_key(number),
+                          encode_chunk(number, 1, texts({machine_removed_entry("n-1")})));
   };
   EXPECT_NO_THROW(reader_of({segment(1), segment(2)}).replay());
   EXPECT_THROW(reader_of({segment(1), segment(3)}).replay(), DecodeError);
@@ -128,10 +131,10 @@
                DecodeError);
   EXPECT_THROW(reader_of({{segment_key(1), R"({"v":1,"n":1,"t":1,"e":[]})"}}), DecodeError);
   EXPECT_THROW(reader_of({{"journal/else", R"({"v":2})"}}), DecodeError);
-  Ledger ledger;
-  EXPECT_THROW(ledger.apply(Json::array({"z", "n-1"})), DecodeError);
-  EXPECT_THROW(ledger.apply(Json::array({"p", "req-1", 3})), DecodeError);
-  EXPECT_THROW(ledger.apply(Json::array({"p", "req-1", 3, Json::array({"n-1", 4, 2})})),
+  ReplayedState replayed;
+  EXPECT_THROW(replayed.apply(Json::array({"z", "n-1"})), DecodeError);
+  EXPECT_THROW(replayed.apply(Json::array({"p", "req-1", 3})), DecodeError);
+  EXPECT_THROW(replayed.apply(Json::array({"p", "req-1", 3, Json::array({"n-1", 4, 2})})),
                DecodeError);
 }
 
--- a/tests/unit/journal_writer_test.cpp
+++ b/tests/unit/journal_writer_test.cpp
@@ -18,51 +18,52 @@
 namespace poppystile::coordination {
 namespace {
 
-using storage::Ledger;
+using storage::ReplayedState;
 
 // One controller, as long as it lives.
-class Life : public simulation::LoneCaller {
+class Life : public simulation::FakeHttpCaller {
  public:
   Life(simulation::EventQueue& queue, simulation::StateService& service, const std::string& name,
        double lose_answers)
-      : LoneCaller(queue, service, lose_answers) {
+      : FakeHttpCaller(queue, service, lose_answers) {
     settings.name = name;
     settings.state_limits.rps = 250;
     settings.state_limits.write_rps = 40;
     settings.state_limits.txn_ops = 32;
     store.emplace(*this, *this, settings);
-    directory.emplace(*this, *store);
-    leadership.emplace(*this, *store, *directory, name, queue.random());
-    journal.emplace(*this, *store, *leadership, settings);
-    leadership->on_won([this] {
-      journal->load([this](std::optional<Ledger> found) {
+    shared_state.emplace(*this, *store);
+    election.emplace(*this, *store, *shared_state, name, queue.random());
+    journal.emplace(*this, *store, *election, settings);
+    election->on_elected([this] {
+      journal->load([this](std::optional<ReplayedState> found) {
         understood = found.has_value();
-        if (found) ledger = *found;
+        if (found) replayed = *found;
         loaded = true;
       });
     });
-    leadership->on_lost([this] { lost = true; });
+    election->on_deposed([this] { lost = true; });
     journal->on_snapshot([this] {
       std::vector<storage::Json> out;
-      for (const auto& [id, machine] : ledger.machines)
-        out.push_back(storage::known_entry(id, "g", "a", false, machine.session, 0));
+      for (const auto& [id, machine] : replayed.machines)
+        out.push_back(
+            storage::machine_registered_entry(id, "g", "a", false, machine.incarnation, 0));
       return out;
     });
-    directory->start();
-    leadership->start();
+    shared_state->start();
+    election->start();
   }
   // Appends as a leader does, and keeps the ledger that its successor should find.
   std::uint64_t append(const storage::Json& entry) {
-    ledger.apply(storage::Json::parse(entry.dump()));
+    replayed.apply(storage::Json::parse(entry.dump()));
     return journal->append(entry);
   }
 
   protocol::Settings settings;
-  std::optional<StateStore> store;
-  std::optional<Directory> directory;
-  std::optional<Leadership> leadership;
-  std::optional<JournalDesk> journal;
-  Ledger ledger;
+  std::optional<KeyValueClient> store;
+  std::optional<SharedStateCache> shared_state;
+  std::optional<LeaderElection> election;
+  std::optional<JournalWriter> journal;
+  ReplayedState replayed;
   bool loaded = false, understood = false, lost = false;
 };
 
@@ -80,7 +81,7 @@
   void run(Life& life, double for_s, const std::function<void()>& more) {
     const double until = queue.now() + for_s;
     while (queue.now() < until &&
-           life.journal->segments_since_snapshot() < life.journal->max_open_segments()) {
+           life.journal->segments_since_snapshot() < life.journal->max_segments_since_snapshot()) {
       more();
       life.journal->pump();
       queue.run_until(queue.now() + 0.02);
@@ -100,25 +101,26 @@
   for (int round = 0; round < 25; ++round) {
     Life& life = begin(round % 3 == 2 ? 0.05 : 0);
     ASSERT_TRUE(life.loaded && life.understood) << "round " << round;
-    for (const auto& [id, session] : durable) {
-      ASSERT_TRUE(life.ledger.machines.contains(id)) << "round " << round;
-      EXPECT_GE(life.ledger.machines.at(id).session, session);
+    for (const auto& [id, incarnation] : durable) {
+      ASSERT_TRUE(life.replayed.machines.contains(id)) << "round " << round;
+      EXPECT_GE(life.replayed.machines.at(id).incarnation, incarnation);
     }
     std::vector<std::tuple<std::uint64_t, std::string, std::uint64_t>> marks;
     const double for_s = 1 + static_cast<double>(random() % 60);
     run(life, for_s, [&] {
       const std::string id = "n-" + std::to_string(random() % 40);
-      const std::uint64_t session = ++made;
-      if (!life.ledger.machines.contains(id))
-        life.append(storage::known_entry(id, "g", "a", false, 0, 0));
-      marks.emplace_back(life.append(storage::session_entry(id, session)), id, session);
+      const std::uint64_t incarnation = ++made;
+      if (!life.replayed.machines.contains(id))
+        life.append(storage::machine_registered_entry(id, "g", "a", false, 0, 0));
+      marks.emplace_back(life.append(storage::incarnation_started_entry(id, incarnation)), id,
+                         incarnation);
     });
     EXPECT_FALSE(life.lost) << "round " << round;
     std::size_t landed = 0;
-    for (const auto& [mark, id, session] : marks) {
-      if (!life.journal->durable(mark)) continue;
+    for (const auto& [mark, id, incarnation] : marks) {
+      if (!life.journal->is_durable(mark)) continue;
       ++landed;
-      durable[id] = std::max(durable[id], session);
+      durable[id] = std::max(durable[id], incarnation);
     }
     EXPECT_GT(landed, 0u) << "round " << round;
   }
@@ -130,16 +132,16 @@
 TEST_F(JournalDeskTest, ALateTransactionOfAFormerLeaderChangesNothing) {
   Life& former = begin();
   former.hold_journal_s = 12;
-  former.append(storage::known_entry("n-1", "g", "a", false, 0, 0));
+  former.append(storage::machine_registered_entry("n-1", "g", "a", false, 0, 0));
   former.journal->pump();
   Life& life = begin();
   ASSERT_TRUE(life.loaded);
-  EXPECT_FALSE(life.ledger.machines.contains("n-1"));
+  EXPECT_FALSE(life.replayed.machines.contains("n-1"));
   run(life, 15, [] {});
-  const auto mark = life.append(storage::known_entry("n-2", "g", "a", false, 0, 0));
+  const auto mark = life.append(storage::machine_registered_entry("n-2", "g", "a", false, 0, 0));
   run(life, 3, [] {});
   EXPECT_FALSE(life.lost);
-  EXPECT_TRUE(life.journal->durable(mark));
+  EXPECT_TRUE(life.journal->is_durable(mark));
 }
 
 // Transactions that were carried out are carried out again much later. Without the versions of the
@@ -152,17 +154,19 @@
   std::deque<std::tuple<std::uint64_t, std::string, std::uint64_t>> marks;
   run(life, 200, [&] {
     const std::string id = "n-" + std::to_string(made % 40);
-    if (!life.ledger.machines.contains(id))
-      life.append(storage::known_entry(id, "g", "a", false, 0, 0));
-    const auto mark = life.append(storage::session_entry(id, ++made));
+    if (!life.replayed.machines.contains(id))
+      life.append(storage::machine_registered_entry(id, "g", "a", false, 0, 0));
+    const auto mark = life.append(storage::incarnation_started_entry(id, ++made));
     marks.emplace_back(mark, id, made);
-    for (; !marks.empty() && life.journal->durable(std::get<0>(marks.front())); marks.pop_front())
+    for (; !marks.empty() && life.journal->is_durable(std::get<0>(marks.front()));
+         marks.pop_front())
       durable[std::get<1>(marks.front())] = std::get<2>(marks.front());
   });
   EXPECT_FALSE(life.lost);
   Life& next = begin();
   ASSERT_TRUE(next.loaded && next.understood);
-  for (const auto& [id, session] : durable) EXPECT_GE(next.ledger.machines.at(id).session, session);
+  for (const auto& [id, incarnation] : durable)
+    EXPECT_GE(next.replayed.machines.at(id).incarnation, incarnation);
 }
 
 // What the service will not take once its limits have fallen must not be cut to the present ones.
@@ -188,7 +192,7 @@
     for (int i = 0; i < 20; ++i) {
       ++made;
       const std::string id = "n-" + std::to_string(made % 500);
-      life.append(storage::known_entry(id, "g", "a", false, made, 0));
+      life.append(storage::machine_registered_entry(id, "g", "a", false, made, 0));
     }
   });
   const auto changes = static_cast<double>(service.changes() - before);
@@ -204,7 +208,7 @@
   ASSERT_TRUE(life.loaded);
   EXPECT_FALSE(life.understood);
   bool wiped = false;
-  life.journal->wipe([&] { wiped = true; });
+  life.journal->reset([&] { wiped = true; });
   queue.run_until(queue.now() + 5);
   EXPECT_TRUE(wiped);
   EXPECT_FALSE(service.has("journal/log/1"));
--- a/tests/unit/leader_election_test.cpp
+++ b/tests/unit/leader_election_test.cpp
@@ -15,20 +15,20 @@
 namespace poppystile::coordination {
 namespace {
 
-struct Candidate : simulation::LoneCaller {
+struct Candidate : simulation::FakeHttpCaller {
   Candidate(simulation::EventQueue& queue, simulation::StateService& service,
             const std::string& name)
-      : LoneCaller(queue, service, 0),
+      : FakeHttpCaller(queue, service, 0),
         store(*this, *this, settings),
-        directory(*this, store),
-        leadership(*this, store, directory, name, queue.random()) {
-    directory.start();
-    leadership.start();
+        shared_state(*this, store),
+        election(*this, store, shared_state, name, queue.random()) {
+    shared_state.start();
+    election.start();
   }
   protocol::Settings settings;
-  StateStore store;
-  Directory directory;
-  Leadership leadership;
+  KeyValueClient store;
+  SharedStateCache shared_state;
+  LeaderElection election;
 };
 
 TEST(Election, OneOfThoseThatRunAtOnceWins) {
@@ -41,8 +41,8 @@
     for (const char* name : {"stile-0", "stile-1", "stile-2"}) {
       all.push_back(std::make_unique<Candidate>(queue, service, name));
       Candidate* self = all.back().get();
-      self->leadership.on_won([&winners, &contested, self] {
-        const auto token = self->leadership.token();
+      self->election.on_elected([&winners, &contested, self] {
+        const auto token = self->election.token();
         EXPECT_TRUE(winners.emplace(token, self).second) << "token " << token << " had twice";
         ++contested;
       });
@@ -51,7 +51,7 @@
     for (int turn = 0; turn < 10; ++turn) {
       queue.run_until(queue.now() + 1);
       for (auto& each : all)
-        if (each->leadership.leading()) each->leadership.resign("the test", 0.3);
+        if (each->election.is_leader()) each->election.resign("the test", 0.3);
     }
     EXPECT_GE(winners.size(), 8u);
   }
--- a/tests/unit/planner_test.cpp
+++ b/tests/unit/planner_test.cpp
@@ -16,12 +16,13 @@
 
 class PlannerTest : public testing::Test {
  protected:
-  Plan plan() { return make_plan(model, {0, &teams, {1, 3, 1, true}, 1, now_wall, &aims}); }
+  Plan plan() { return make_plan(cluster_state, {0, &teams, {1, 3, 1, true}, 1, now_wall, &aims}); }
   void apply(const Plan& made) {
     for (const auto& each : made.placements)
-      model.place(model.machines.at(each.machine), model.jobs.at(each.job), ++attempts, 0);
+      cluster_state.place(cluster_state.machines.at(each.machine), cluster_state.jobs.at(each.job),
+                          ++attempts, 0);
   }
-  Model model;
+  ClusterState cluster_state;
   std::vector<protocol::TeamSettings> teams = {{"ops", 0, 0, 0, 0}};
   std::uint64_t attempts = 0;
   double now_wall = 0;
@@ -30,11 +31,11 @@
 
 // A restored job's cursor once ran past its end and corrupted the heap.
 TEST_F(PlannerTest, RestoredJobHandsOutOnlyWhatWaits) {
-  add(model, spec("req-1", JobKind::array, 5, Priority::normal));
-  Job& job = model.jobs.at("req-1");
+  add(cluster_state, spec("req-1", JobKind::array, 5, Priority::normal));
+  Job& job = cluster_state.jobs.at("req-1");
   for (std::uint32_t i : {0u, 2u, 4u}) job.finish(i);
   EXPECT_EQ(job.waiting(), 2u);
-  add(model, "a1", 32);
+  add(cluster_state, "a1", 32);
   apply(plan());
   EXPECT_EQ(job.waiting(), 0u);
   EXPECT_EQ(job.phases[1], TaskPhase::placed);
@@ -42,41 +43,41 @@
 }
 
 TEST_F(PlannerTest, NeverMoreThanFits) {
-  add(model, spec("req-1", JobKind::array, 100, Priority::normal));
-  add(model, "a1", 8);
-  add(model, "b1", 4);
+  add(cluster_state, spec("req-1", JobKind::array, 100, Priority::normal));
+  add(cluster_state, "a1", 8);
+  add(cluster_state, "b1", 4);
   // What a plan leaves to wait for a place goes to another one soon after.
   for (int round = 0; round < 5; ++round) apply(plan());
-  EXPECT_EQ(model.machines.at("a1").placements.size(), 4u);
-  EXPECT_EQ(model.machines.at("b1").placements.size(), 2u);
+  EXPECT_EQ(cluster_state.machines.at("a1").placements.size(), 4u);
+  EXPECT_EQ(cluster_state.machines.at("b1").placements.size(), 2u);
 }
 
 TEST_F(PlannerTest, TeamLimitHolds) {
   teams[0].cpus_max = 7;
-  add(model, spec("req-1", JobKind::array, 100, Priority::normal));
-  add(model, spec("req-2", JobKind::service, 2, Priority::high));
-  add(model, "a1", 32);
+  add(cluster_state, spec("req-1", JobKind::array, 100, Priority::normal));
+  add(cluster_state, spec("req-2", JobKind::service, 2, Priority::high));
+  add(cluster_state, "a1", 32);
   apply(plan());
-  EXPECT_EQ(model.teams.at("ops").used.cpus, 6000);
+  EXPECT_EQ(cluster_state.teams.at("ops").used.cpus, 6000);
 }
 
 TEST_F(PlannerTest, ServiceGoesToTheHolder) {
-  add(model, spec("req-1", JobKind::service, 1, Priority::high));
-  add(model, "a1", 32);
-  add(model, "b1", 8).touch_image("img", 1);
+  add(cluster_state, spec("req-1", JobKind::service, 1, Priority::high));
+  add(cluster_state, "a1", 32);
+  add(cluster_state, "b1", 8).mark_image_used("img", 1);
   const Plan made = plan();
   ASSERT_EQ(made.placements.size(), 1u);
   EXPECT_EQ(made.placements[0].machine, "b1");
 }
 
 TEST_F(PlannerTest, HigherPriorityMakesRoomOnceOnly) {
-  add(model, spec("req-1", JobKind::array, 4, Priority::normal));
-  add(model, "a1", 8);
+  add(cluster_state, spec("req-1", JobKind::array, 4, Priority::normal));
+  add(cluster_state, "a1", 8);
   apply(plan());
-  add(model, spec("req-2", JobKind::service, 1, Priority::production));
+  add(cluster_state, spec("req-2", JobKind::service, 1, Priority::production));
   const Plan made = plan();
   ASSERT_EQ(made.stops.size(), 1u);
-  model.machines.at("a1")
+  cluster_state.machines.at("a1")
       .find(made.stops[0].job, made.stops[0].index, made.stops[0].attempt)
       ->stopping = true;
   EXPECT_TRUE(plan().stops.empty());  // the room is on its way
@@ -84,11 +85,11 @@
 
 // A task given back before the cursor has reached it must not be handed out twice.
 TEST_F(PlannerTest, ATaskGivenBackIsHandedOutOnce) {
-  add(model, spec("req-1", JobKind::array, 4, Priority::normal));
-  Job& job = model.jobs.at("req-1");
-  Machine& a1 = add(model, "a1", 32);
-  model.restore(a1, job, 2, 1, 0);  // as after a takeover
-  model.vacate(a1, a1.placements[0]);
+  add(cluster_state, spec("req-1", JobKind::array, 4, Priority::normal));
+  Job& job = cluster_state.jobs.at("req-1");
+  Machine& a1 = add(cluster_state, "a1", 32);
+  cluster_state.restore(a1, job, 2, 1, 0);  // as after a takeover
+  cluster_state.release_resources(a1, a1.placements[0]);
   job.requeue(2);
   a1.placements.clear();
   std::set<std::uint32_t> seen;
@@ -104,11 +105,11 @@
   JobSpec in_time = spec("req-2", JobKind::array, 4, Priority::normal);
   aims = {{"d", 60}};
   in_time.job_class = "d";
-  add(model, late);
-  add(model, in_time);
-  model.jobs.at("req-1").record.accepted_wall_s = 10;
-  model.jobs.at("req-2").record.accepted_wall_s = 95;
-  add(model, "a1", 8);
+  add(cluster_state, late);
+  add(cluster_state, in_time);
+  cluster_state.jobs.at("req-1").record.accepted_wall_s = 10;
+  cluster_state.jobs.at("req-2").record.accepted_wall_s = 95;
+  add(cluster_state, "a1", 8);
   for (const auto& each : plan().placements) EXPECT_EQ(each.job, "req-2");
 }
 
@@ -117,12 +118,12 @@
   now_wall = 400;
   JobSpec old = spec("req-1", JobKind::array, 60, Priority::normal);
   old.deadline_s = 40;
-  add(model, old);
+  add(cluster_state, old);
   JobSpec fresh = spec("req-2", JobKind::array, 100, Priority::normal);
   fresh.deadline_s = 500;
-  add(model, fresh);
-  model.jobs.at("req-2").record.accepted_wall_s = 399;
-  add(model, "a1", 16);
+  add(cluster_state, fresh);
+  cluster_state.jobs.at("req-2").record.accepted_wall_s = 399;
+  add(cluster_state, "a1", 16);
   std::map<std::string, int> placed;
   for (const auto& each : plan().placements) ++placed[each.job];
   EXPECT_EQ(placed["req-1"], 4);
@@ -131,52 +132,52 @@
 
 // Arrays whose tasks are better off waiting for a holder once waited for 90 s beside free room.
 TEST_F(PlannerTest, AnArrayThatHasWaitedLongBeginsInAnyRoom) {
-  add(model, spec("req-1", JobKind::array, 3, Priority::normal));
-  add(model, "a1", 32).fetch_gb_per_s = 0.01;
+  add(cluster_state, spec("req-1", JobKind::array, 3, Priority::normal));
+  add(cluster_state, "a1", 32).fetch_gb_per_s = 0.01;
   const auto begun = [this](double waited) {
-    model.jobs.at("req-1").record.accepted_wall_s = now_wall - waited;
+    cluster_state.jobs.at("req-1").record.accepted_wall_s = now_wall - waited;
     const PlanningContext context{0, &teams, {1, 3, 1, true}, 1, now_wall, &aims};
-    PlanDraft draft(model, context);
+    PlanDraft draft(cluster_state, context);
     draft.add_slots();
-    const JobOrder order(model, context);
+    const JobOrder order(cluster_state, context);
     Preemption preemption(draft, order);
-    ArrayBatches(draft, order, preemption).begin_overdue({&model.jobs.at("req-1")});
+    ArrayBatches(draft, order, preemption).begin_overdue({&cluster_state.jobs.at("req-1")});
     return draft.take().placements.size();
   };
   EXPECT_EQ(begun(constants::first_task_s - 1), 0u);
   EXPECT_EQ(begun(constants::first_task_s + 1), 1u);
-  Machine& elsewhere = add(model, "b1", 2);
-  model.place(elsewhere, model.jobs.at("req-1"), 1, 0);
+  Machine& elsewhere = add(cluster_state, "b1", 2);
+  cluster_state.place(elsewhere, cluster_state.jobs.at("req-1"), 1, 0);
   EXPECT_EQ(begun(constants::first_task_s + 1), 0u);  // it has begun
 }
 
 // A machine that may not hear us gets nothing, however empty it looks.
 TEST_F(PlannerTest, SuspectMachinesGetNothing) {
-  add(model, spec("req-1", JobKind::array, 4, Priority::normal));
-  add(model, "a1", 32).suspect = true;
+  add(cluster_state, spec("req-1", JobKind::array, 4, Priority::normal));
+  add(cluster_state, "a1", 32).is_unresponsive = true;
   EXPECT_TRUE(plan().placements.empty());
 }
 
 TEST_F(PlannerTest, EqualPriorityIsNotPreempted) {
-  add(model, spec("req-1", JobKind::array, 4, Priority::high));
-  add(model, "a1", 8);
+  add(cluster_state, spec("req-1", JobKind::array, 4, Priority::high));
+  add(cluster_state, "a1", 8);
   apply(plan());
-  add(model, spec("req-2", JobKind::service, 1, Priority::high));
+  add(cluster_state, spec("req-2", JobKind::service, 1, Priority::high));
   EXPECT_TRUE(plan().stops.empty());
 }
 
 // Work that another team runs beyond its guarantee gives way, whatever its priority.
 TEST_F(PlannerTest, GuaranteeTakesBackWhatIsBorrowed) {
   teams = {{"ops", 2, 0, 0, 0}, {"lab", 4, 0, 0, 0}};
-  add(model, spec("req-1", JobKind::array, 4, Priority::high));
-  add(model, "a1", 8);
+  add(cluster_state, spec("req-1", JobKind::array, 4, Priority::high));
+  add(cluster_state, "a1", 8);
   apply(plan());
   JobSpec promised = spec("req-2", JobKind::array, 2, Priority::normal);
   promised.team = "lab";
-  add(model, promised);
+  add(cluster_state, promised);
   EXPECT_EQ(plan().stops.size(), 2u);
-  model.jobs.at("req-2").record.spec.tasks = 3;  // beyond the guarantee: no claim
-  model.jobs.at("req-2").phases.assign(3, TaskPhase::waiting);
+  cluster_state.jobs.at("req-2").record.spec.tasks = 3;  // beyond the guarantee: no claim
+  cluster_state.jobs.at("req-2").phases.assign(3, TaskPhase::waiting);
   EXPECT_TRUE(plan().stops.empty());
 }
 
@@ -185,10 +186,10 @@
   apart.spread = true;
   JobSpec together = spec("req-2", JobKind::array, 3, Priority::normal);
   together.one_zone = true;
-  add(model, apart);
-  add(model, together);
-  add(model, "a1", 32);
-  add(model, "b1", 32);
+  add(cluster_state, apart);
+  add(cluster_state, together);
+  add(cluster_state, "a1", 32);
+  add(cluster_state, "b1", 32);
   std::map<std::string, std::map<std::string, int>> zones;
   // A plan leaves out what would crowd a zone; the next one puts it elsewhere.
   for (int round = 0; round < 2; ++round) {
@@ -205,40 +206,40 @@
 TEST_F(PlannerTest, SpotOnlyWhereAllowed) {
   JobSpec ordinary = spec("req-1", JobKind::service, 1, Priority::high);
   ordinary.spot = false;
-  add(model, ordinary);
-  add(model, "a1", 32).spot = true;
+  add(cluster_state, ordinary);
+  add(cluster_state, "a1", 32).spot = true;
   EXPECT_TRUE(plan().placements.empty());
 }
 
 // What may be on a machine counts until it is proven off, and no longer, whatever became of its
 // job.
 TEST_F(PlannerTest, ATeamsUseOutlivesTheJobAndNotThePlacement) {
-  add(model, spec("req-1", JobKind::array, 3, Priority::normal));
-  Machine& machine = add(model, "a1", 16);
+  add(cluster_state, spec("req-1", JobKind::array, 3, Priority::normal));
+  Machine& machine = add(cluster_state, "a1", 16);
   apply(plan());
-  model.jobs.erase("req-1");
-  EXPECT_EQ(model.teams.at("ops").used.cpus, 6000);
-  for (auto& each : machine.placements) model.vacate(machine, each);
-  EXPECT_EQ(model.teams.at("ops").used.cpus, 0);
+  cluster_state.jobs.erase("req-1");
+  EXPECT_EQ(cluster_state.teams.at("ops").used.cpus, 6000);
+  for (auto& each : machine.placements) cluster_state.release_resources(machine, each);
+  EXPECT_EQ(cluster_state.teams.at("ops").used.cpus, 0);
   EXPECT_EQ(machine.used.cpus, 0);
 }
 
 // Lower work once waited for ever beside a stream of higher work.
 TEST_F(PlannerTest, AStarvedJobOfLowerPriorityBeginsFirst) {
-  add(model, spec("req-1", JobKind::array, 50, Priority::normal));
+  add(cluster_state, spec("req-1", JobKind::array, 50, Priority::normal));
   JobSpec spare = spec("req-2", JobKind::array, 40, Priority::low);
   spare.image = "other";
-  add(model, spare);
-  add(model, "a1", 16);
+  add(cluster_state, spare);
+  add(cluster_state, "a1", 16);
   const auto of_spare = [&] {
     const Plan made = plan();
     return std::count_if(made.placements.begin(), made.placements.end(),
                          [](const auto& each) { return each.job == "req-2"; });
   };
-  model.jobs.at("req-1").record.accepted_wall_s = now_wall - 10;
-  model.jobs.at("req-2").record.accepted_wall_s = now_wall - constants::starved_s + 1;
+  cluster_state.jobs.at("req-1").record.accepted_wall_s = now_wall - 10;
+  cluster_state.jobs.at("req-2").record.accepted_wall_s = now_wall - constants::starved_s + 1;
   EXPECT_EQ(of_spare(), 0);
-  model.jobs.at("req-2").record.accepted_wall_s = now_wall - constants::starved_s - 1;
+  cluster_state.jobs.at("req-2").record.accepted_wall_s = now_wall - constants::starved_s - 1;
   EXPECT_EQ(of_spare(), 3);  // a twentieth of it, and one
 }
 
@@ -248,12 +249,12 @@
   for (int i = 0; i < 4; ++i) {
     JobSpec replica = spec("req-" + std::to_string(i), JobKind::service, 1, Priority::high);
     replica.image = "img-" + std::to_string(i);
-    add(model, replica);
+    add(cluster_state, replica);
   }
-  add(model, "a1", 32).fetch_gb_per_s = 0.05;  // 20 s an image
-  Machine& booting = add(model, "b1", 32);
-  booting.session = 0;
-  booting.heard = booting.confirmed = false;
+  add(cluster_state, "a1", 32).fetch_gb_per_s = 0.05;  // 20 s an image
+  Machine& booting = add(cluster_state, "b1", 32);
+  booting.incarnation = 0;
+  booting.has_reported = booting.has_acknowledged_token = false;
   booting.boot_s = 30;  // and so up after 31 s or so
   const auto placed = [&] { return plan().placements.size(); };
   EXPECT_EQ(placed(), 1u);  // the first fetches; for the others that machine would be too slow
@@ -270,13 +271,13 @@
   for (int i = 0; i < 4; ++i) {
     JobSpec replica = spec("req-" + std::to_string(i), JobKind::service, 1, Priority::high);
     replica.image = "img-" + std::to_string(i % 2);
-    add(model, replica);
+    add(cluster_state, replica);
   }
-  add(model, "a1", 32).fetch_gb_per_s = 0.05;
-  add(model, "b1", 32).fetch_gb_per_s = 0.05;
+  add(cluster_state, "a1", 32).fetch_gb_per_s = 0.05;
+  add(cluster_state, "b1", 32).fetch_gb_per_s = 0.05;
   std::map<std::string, std::set<std::string>> images;
   for (const auto& each : plan().placements)
-    images[each.machine].insert(model.jobs.at(each.job).spec().image);
+    images[each.machine].insert(cluster_state.jobs.at(each.job).spec().image);
   EXPECT_EQ(images["a1"].size(), 1u);
   EXPECT_EQ(images["b1"].size(), 1u);
 }
--- a/tests/unit/planning_samples.hpp
+++ b/tests/unit/planning_samples.hpp
@@ -8,9 +8,9 @@
 
 namespace poppystile::planning {
 
+using cluster::ClusterState;
 using cluster::Job;
 using cluster::Machine;
-using cluster::Model;
 using cluster::TaskPhase;
 using protocol::JobKind;
 using protocol::JobSpec;
@@ -32,23 +32,23 @@
   return job;
 }
 
-inline void add(Model& model, const JobSpec& job) {
+inline void add(ClusterState& cluster_state, const JobSpec& job) {
   Job made;
   made.record.spec = job;
   made.phases.assign(job.tasks, TaskPhase::waiting);
-  model.jobs.emplace(job.id, std::move(made));
+  cluster_state.jobs.emplace(job.id, std::move(made));
 }
 
-inline Machine& add(Model& model, const std::string& id, std::int64_t cpus) {
+inline Machine& add(ClusterState& cluster_state, const std::string& id, std::int64_t cpus) {
   Machine machine;
   machine.id = id;
   machine.type = "t";
   machine.zone = id.substr(0, 1);
   machine.size = {cpus * 1000, 0, 64000};
-  machine.heard = machine.confirmed = true;
-  machine.session = 1;
+  machine.has_reported = machine.has_acknowledged_token = true;
+  machine.incarnation = 1;
   machine.cache_gb = 10;
-  return model.machines.emplace(id, std::move(machine)).first->second;
+  return cluster_state.machines.emplace(id, std::move(machine)).first->second;
 }
 
 }  // namespace poppystile::planning
--- a/tests/unit/production_forms_test.cpp
+++ b/tests/unit/production_forms_test.cpp
@@ -43,10 +43,11 @@
   EXPECT_EQ(storage::encode(storage::LeaderRecord{"stile-1", 41}).dump(),
             R"({"name":"stile-1","token":41,"v":1})");
   EXPECT_EQ(storage::encode_token(41).dump(), R"({"token":41,"v":1})");
-  EXPECT_EQ(storage::encode_over(protocol::JobState::done).dump(), R"({"done":true,"v":1})");
-  EXPECT_EQ(storage::encode_over(protocol::JobState::cancelled).dump(), R"({"done":false,"v":1})");
+  EXPECT_EQ(storage::encode_final_state(protocol::JobState::done).dump(), R"({"done":true,"v":1})");
+  EXPECT_EQ(storage::encode_final_state(protocol::JobState::cancelled).dump(),
+            R"({"done":false,"v":1})");
   EXPECT_EQ(storage::job_key("req-7"), "shared/job/req-7");
-  EXPECT_EQ(storage::over_key("req-7"), "shared/over/req-7");
+  EXPECT_EQ(storage::final_record_key("req-7"), "shared/over/req-7");
   EXPECT_EQ(storage::keys::leader, "shared/ctl/leader");
   EXPECT_EQ(storage::keys::token, "shared/ctl/token");
   EXPECT_EQ(storage::keys::catalog, "shared/catalog");
@@ -62,20 +63,20 @@
 TEST(ProductionForms, JournalEntriesAreWrittenAlike) {
   using namespace storage;
   const std::vector<Json> entries = {
-      known_entry("n-000001", "g8", "a", false, 0, 1700000000.5),
-      session_entry("n-000001", 3),
-      image_entry("n-000001", {"img-07", 6.2}),
-      placed_entry("req-000412", (std::uint64_t{41} << 24) + 1, "n-000001", 0),
-      ended_entry("req-000412", 0),
-      finished_entry("req-000412", 1),
-      finished_bits_entry("req-000412", 4, {true, true, false, true, false}),
-      hire_entry("h-41-1", {"g8", "a", true, 12}),
-      hire_settled_entry("h-41-1"),
-      gone_entry("n-000002")};
+      machine_registered_entry("n-000001", "g8", "a", false, 0, 1700000000.5),
+      incarnation_started_entry("n-000001", 3),
+      image_cached_entry("n-000001", {"img-07", 6.2}),
+      task_placed_entry("req-000412", (std::uint64_t{41} << 24) + 1, "n-000001", 0),
+      placement_ended_entry("req-000412", 0),
+      task_finished_entry("req-000412", 1),
+      finished_bitmap_entry("req-000412", 4, {true, true, false, true, false}),
+      rental_requested_entry("h-41-1", {"g8", "a", true, 12}),
+      rental_settled_entry("h-41-1"),
+      machine_removed_entry("n-000002")};
   std::vector<std::string> texts;
   texts.reserve(entries.size());
   for (const Json& each : entries) texts.push_back(each.dump());
-  EXPECT_EQ(encode_part(8, 41, texts), segment);
+  EXPECT_EQ(encode_chunk(8, 41, texts), segment);
   EXPECT_EQ(encode(JournalHead{3, 2, 8}).dump(), R"({"from":8,"gen":3,"parts":2,"v":2})");
   EXPECT_EQ(segment_key(5), "journal/log/5");
   EXPECT_EQ(snapshot_key(3, 1), "journal/snap/1/1");
@@ -83,20 +84,20 @@
 
 TEST(ProductionForms, AJournalIsReadWhole) {
   using namespace storage;
-  JournalReader reader;
+  JournalReplay reader;
   reader.add(keys::journal_head, Json::parse(R"({"from":8,"gen":3,"parts":1,"v":2})"));
   reader.add("journal/snap/1/0",
              Json::parse(R"({"n":3,"t":40,"v":2,"e":[["m","n-000001","g8","a",false,2,1.7e9],)"
                          R"(["p","req-000412",671088641,["n-000001",2,3]]]})"));
   reader.add("journal/log/8", Json::parse(segment));
-  const Ledger ledger = reader.replay();
-  ASSERT_TRUE(ledger.machines.contains("n-000001"));
-  EXPECT_EQ(ledger.machines.at("n-000001").session, 3u);
-  EXPECT_EQ(ledger.machines.at("n-000001").images.at(0).name, "img-07");
-  EXPECT_TRUE(ledger.jobs.at("req-000412").placed.empty());
-  EXPECT_TRUE(ledger.jobs.at("req-000412").is_finished(1));
-  EXPECT_TRUE(ledger.jobs.at("req-000412").is_finished(7));
-  EXPECT_TRUE(ledger.rentals.empty());
+  const ReplayedState replayed = reader.replay();
+  ASSERT_TRUE(replayed.machines.contains("n-000001"));
+  EXPECT_EQ(replayed.machines.at("n-000001").incarnation, 3u);
+  EXPECT_EQ(replayed.machines.at("n-000001").images.at(0).name, "img-07");
+  EXPECT_TRUE(replayed.jobs.at("req-000412").placed.empty());
+  EXPECT_TRUE(replayed.jobs.at("req-000412").is_finished(1));
+  EXPECT_TRUE(replayed.jobs.at("req-000412").is_finished(7));
+  EXPECT_TRUE(replayed.rentals.empty());
 }
 
 std::string hex(const std::string& bytes) {
@@ -113,13 +114,13 @@
   protocol::PeerStatus status;
   status.name = "stile-1";
   status.incarnation = 77;
-  status.born_wall_s = 1024;
+  status.started_at_wall_s = 1024;
   status.token = 41;
-  status.leading = true;
+  status.is_leader = true;
   status.sent_wall_s = 2048;
   status.state_wall_s = 2047;
-  status.proven_wall_s = 2046;
-  status.redirected_reports = 12;
+  status.fresh_as_of_wall_s = 2046;
+  status.redirected_heartbeats = 12;
   status.counts = {{"req-000412", 5, 6}};
   status.cancelled = {"req-000007"};
   const std::string frame = protocol::encode_peer_status(status);
--- a/tests/unit/shared_state_cache_test.cpp
+++ b/tests/unit/shared_state_cache_test.cpp
@@ -29,37 +29,38 @@
 
 TEST_F(DirectoryTest, AnOlderRecordDoesNotUndoACancellationThatASiblingTold) {
   write(storage::job_key("req-1"), record("req-1"));
-  directory.learn_cancelled("req-1");
-  EXPECT_TRUE(directory.job("req-1")->record.cancelled);
+  shared_state.apply_cancellation("req-1");
+  EXPECT_TRUE(shared_state.job("req-1")->record.cancelled);
   write(storage::job_key("req-1"), record("req-1"));
-  EXPECT_TRUE(directory.job("req-1")->record.cancelled);
+  EXPECT_TRUE(shared_state.job("req-1")->record.cancelled);
 }
 
 TEST_F(DirectoryTest, ACancellationCountsBeforeTheJobIsKnown) {
-  directory.learn_cancelled("req-2");
+  shared_state.apply_cancellation("req-2");
   write(storage::job_key("req-2"), record("req-2"));
-  EXPECT_TRUE(directory.job("req-2")->record.cancelled);
-  EXPECT_TRUE(directory.cancelled().contains("req-2"));
+  EXPECT_TRUE(shared_state.job("req-2")->record.cancelled);
+  EXPECT_TRUE(shared_state.cancelled().contains("req-2"));
 }
 
 TEST_F(DirectoryTest, WhatIsOverIsNotNamedAnyMore) {
-  directory.learn_cancelled("req-3");
-  write(storage::over_key("req-3"), storage::encode_over(protocol::JobState::cancelled));
-  EXPECT_TRUE(directory.cancelled().empty());
-  directory.learn_cancelled("req-3");
-  EXPECT_TRUE(directory.cancelled().empty());
+  shared_state.apply_cancellation("req-3");
+  write(storage::final_record_key("req-3"),
+        storage::encode_final_state(protocol::JobState::cancelled));
+  EXPECT_TRUE(shared_state.cancelled().empty());
+  shared_state.apply_cancellation("req-3");
+  EXPECT_TRUE(shared_state.cancelled().empty());
 }
 
 TEST_F(DirectoryTest, TheProofStandsStillWithTheService) {
   queue.run_until(10);
-  const double age = caller.now_s() - directory.proven_s();
+  const double age = caller.now_s() - shared_state.fresh_as_of_s();
   EXPECT_LT(age, 2.5);
   service.set_down(true);
   queue.run_until(30);
-  EXPECT_GT(caller.now_s() - directory.proven_s(), 20);
+  EXPECT_GT(caller.now_s() - shared_state.fresh_as_of_s(), 20);
   service.set_down(false);
   queue.run_until(35);
-  EXPECT_LT(caller.now_s() - directory.proven_s(), 2.5);
+  EXPECT_LT(caller.now_s() - shared_state.fresh_as_of_s(), 2.5);
 }
 
 }  // namespace
--- a/tests/unit/shared_state_fixture.hpp
+++ b/tests/unit/shared_state_fixture.hpp
@@ -14,17 +14,17 @@
  protected:
   // Lets the directory read what the state service holds.
   void load_directory() {
-    directory.start();
+    shared_state.start();
     queue.run_until(1);
-    ASSERT_TRUE(directory.loaded());
+    ASSERT_TRUE(shared_state.loaded());
   }
 
   simulation::EventQueue queue{5};
   simulation::StateService service{queue, 250, 40, 32};
-  simulation::LoneCaller caller{queue, service, 0};
+  simulation::FakeHttpCaller caller{queue, service, 0};
   protocol::Settings settings;
-  StateStore store{caller, caller, settings};
-  Directory directory{caller, store};
+  KeyValueClient store{caller, caller, settings};
+  SharedStateCache shared_state{caller, store};
 };
 
 }  // namespace poppystile::coordination
