--- a/tests/unit/planner_test.cpp
+++ b/tests/unit/planner_test.cpp
@@ -16,16 +16,18 @@
 
 class PlannerTest : public testing::Test {
  protected:
-  Plan plan() { return make_plan(cluster_state, {0, &teams, {1, 3, 1, true}, 1, now_wall, &aims}); }
+  Plan plan() {
+    return make_plan(cluster_state, {{}, &teams, {1, 3, 1, true}, Seconds{1}, now_wall, &aims});
+  }
   void apply(const Plan& made) {
     for (const auto& each : made.placements)
       cluster_state.place(cluster_state.machines.at(each.machine), cluster_state.jobs.at(each.job),
-                          ++attempts, 0);
+                          ++attempts, steady_at(0));
   }
   ClusterState cluster_state;
   std::vector<protocol::TeamSettings> teams = {{"ops", 0, 0, 0, 0}};
   std::uint64_t attempts = 0;
-  double now_wall = 0;
+  WallTime now_wall;
   std::vector<protocol::FinishAim> aims;
 };
 
@@ -88,7 +90,7 @@
   add(cluster_state, spec("req-1", JobKind::array, 4, Priority::normal));
   Job& job = cluster_state.jobs.at("req-1");
   Machine& a1 = add(cluster_state, "a1", 32);
-  cluster_state.restore(a1, job, 2, 1, 0);  // as after a takeover
+  cluster_state.restore(a1, job, 2, 1, steady_at(0));  // as after a takeover
   cluster_state.release_resources(a1, a1.placements[0]);
   job.requeue(2);
   a1.placements.clear();
@@ -99,30 +101,30 @@
 
 // What can still be in time goes before what is late already, whichever came first.
 TEST_F(PlannerTest, ArraysThatCanBeInTimeGoFirst) {
-  now_wall = 100;
+  now_wall = wall_at(100);
   JobSpec late = spec("req-1", JobKind::array, 4, Priority::normal);
-  late.deadline_s = 40;
+  late.deadline = Seconds{40};
   JobSpec in_time = spec("req-2", JobKind::array, 4, Priority::normal);
-  aims = {{"d", 60}};
+  aims = {{"d", Seconds{60}}};
   in_time.job_class = "d";
   add(cluster_state, late);
   add(cluster_state, in_time);
-  cluster_state.jobs.at("req-1").record.accepted_wall_s = 10;
-  cluster_state.jobs.at("req-2").record.accepted_wall_s = 95;
+  cluster_state.jobs.at("req-1").record.accepted_at = wall_at(10);
+  cluster_state.jobs.at("req-2").record.accepted_at = wall_at(95);
   add(cluster_state, "a1", 8);
   for (const auto& each : plan().placements) EXPECT_EQ(each.job, "req-2");
 }
 
 // But an array that has waited long begins, with a part of it.
 TEST_F(PlannerTest, NoArrayStarves) {
-  now_wall = 400;
+  now_wall = wall_at(400);
   JobSpec old = spec("req-1", JobKind::array, 60, Priority::normal);
-  old.deadline_s = 40;
+  old.deadline = Seconds{40};
   add(cluster_state, old);
   JobSpec fresh = spec("req-2", JobKind::array, 100, Priority::normal);
-  fresh.deadline_s = 500;
+  fresh.deadline = Seconds{500};
   add(cluster_state, fresh);
-  cluster_state.jobs.at("req-2").record.accepted_wall_s = 399;
+  cluster_state.jobs.at("req-2").record.accepted_at = wall_at(399);
   add(cluster_state, "a1", 16);
   std::map<std::string, int> placed;
   for (const auto& each : plan().placements) ++placed[each.job];
@@ -134,9 +136,9 @@
 TEST_F(PlannerTest, AnArrayThatHasWaitedLongBeginsInAnyRoom) {
   add(cluster_state, spec("req-1", JobKind::array, 3, Priority::normal));
   add(cluster_state, "a1", 32).fetch_gb_per_s = 0.01;
-  const auto begun = [this](double waited) {
-    cluster_state.jobs.at("req-1").record.accepted_wall_s = now_wall - waited;
-    const PlanningContext context{0, &teams, {1, 3, 1, true}, 1, now_wall, &aims};
+  const auto begun = [this](Seconds waited) {
+    cluster_state.jobs.at("req-1").record.accepted_at = now_wall - waited;
+    const PlanningContext context{{}, &teams, {1, 3, 1, true}, Seconds{1}, now_wall, &aims};
     PlanDraft draft(cluster_state, context);
     draft.add_slots();
     const JobOrder order(cluster_state, context);
@@ -144,11 +146,11 @@
     ArrayBatches(draft, order, preemption).begin_overdue({&cluster_state.jobs.at("req-1")});
     return draft.take().placements.size();
   };
-  EXPECT_EQ(begun(constants::first_task_s - 1), 0u);
-  EXPECT_EQ(begun(constants::first_task_s + 1), 1u);
+  EXPECT_EQ(begun(constants::first_task_wait - Seconds{1}), 0u);
+  EXPECT_EQ(begun(constants::first_task_wait + Seconds{1}), 1u);
   Machine& elsewhere = add(cluster_state, "b1", 2);
-  cluster_state.place(elsewhere, cluster_state.jobs.at("req-1"), 1, 0);
-  EXPECT_EQ(begun(constants::first_task_s + 1), 0u);  // it has begun
+  cluster_state.place(elsewhere, cluster_state.jobs.at("req-1"), 1, steady_at(0));
+  EXPECT_EQ(begun(constants::first_task_wait + Seconds{1}), 0u);  // it has begun
 }
 
 // A machine that may not hear us gets nothing, however empty it looks.
@@ -236,10 +238,12 @@
     return std::count_if(made.placements.begin(), made.placements.end(),
                          [](const auto& each) { return each.job == "req-2"; });
   };
-  cluster_state.jobs.at("req-1").record.accepted_wall_s = now_wall - 10;
-  cluster_state.jobs.at("req-2").record.accepted_wall_s = now_wall - constants::starved_s + 1;
+  cluster_state.jobs.at("req-1").record.accepted_at = now_wall - Seconds{10};
+  cluster_state.jobs.at("req-2").record.accepted_at =
+      now_wall - constants::starvation_wait + Seconds{1};
   EXPECT_EQ(of_spare(), 0);
-  cluster_state.jobs.at("req-2").record.accepted_wall_s = now_wall - constants::starved_s - 1;
+  cluster_state.jobs.at("req-2").record.accepted_at =
+      now_wall - constants::starvation_wait - Seconds{1};
   EXPECT_EQ(of_spare(), 3);  // a twentieth of it, and one
 }
 
@@ -255,14 +259,14 @@
   Machine& booting = add(cluster_state, "b1", 32);
   booting.incarnation = 0;
   booting.has_reported = booting.has_acknowledged_token = false;
-  booting.boot_s = 30;  // and so up after 31 s or so
+  booting.boot_time = Seconds{30};  // and so up after 31 s or so
   const auto placed = [&] { return plan().placements.size(); };
   EXPECT_EQ(placed(), 1u);  // the first fetches; for the others that machine would be too slow
-  now_wall = 44;            // any moment now
+  now_wall = wall_at(44);   // any moment now
   EXPECT_EQ(placed(), 0u);
-  now_wall = 46;  // overdue: nobody knows when it will be up
+  now_wall = wall_at(46);  // overdue: nobody knows when it will be up
   EXPECT_EQ(placed(), 4u);
-  booting.rented_wall_s = now_wall = constants::boot_wait_s + 1;
+  booting.rented_at = now_wall = WallTime{constants::max_boot_wait + Seconds{1}};
   EXPECT_EQ(placed(), 4u);  // they have waited long enough
 }
 
--- a/tests/unit/planning_samples.hpp
+++ b/tests/unit/planning_samples.hpp
@@ -5,6 +5,7 @@
 #include <utility>
 
 #include "cluster/cluster_state.hpp"
+#include "simulation/test_clock.hpp"
 
 namespace poppystile::planning {
 
@@ -27,7 +28,7 @@
   job.each = {2000, 0, 1000};
   job.image = "img";
   job.image_gb = 1;
-  job.estimate_s = 20;
+  job.estimated_run_time = Seconds{20};
   job.spot = true;
   return job;
 }
--- a/tests/unit/production_forms_test.cpp
+++ b/tests/unit/production_forms_test.cpp
@@ -8,6 +8,7 @@
 
 #include "protocol/peer_messages.hpp"
 #include "protocol/submission.hpp"
+#include "simulation/test_clock.hpp"
 #include "storage/journal.hpp"
 #include "storage/records.hpp"
 
@@ -63,7 +64,7 @@
 TEST(ProductionForms, JournalEntriesAreWrittenAlike) {
   using namespace storage;
   const std::vector<Json> entries = {
-      machine_registered_entry("n-000001", "g8", "a", false, 0, 1700000000.5),
+      machine_registered_entry("n-000001", "g8", "a", false, 0, wall_at(1700000000.5)),
       incarnation_started_entry("n-000001", 3),
       image_cached_entry("n-000001", {"img-07", 6.2}),
       task_placed_entry("req-000412", (std::uint64_t{41} << 24) + 1, "n-000001", 0),
@@ -114,12 +115,12 @@
   protocol::PeerStatus status;
   status.name = "stile-1";
   status.incarnation = 77;
-  status.started_at_wall_s = 1024;
+  status.started_at = wall_at(1024);
   status.token = 41;
   status.is_leader = true;
-  status.sent_wall_s = 2048;
-  status.state_wall_s = 2047;
-  status.fresh_as_of_wall_s = 2046;
+  status.sent_at = wall_at(2048);
+  status.state_contact_at = wall_at(2047);
+  status.fresh_as_of_wall = wall_at(2046);
   status.redirected_heartbeats = 12;
   status.counts = {{"req-000412", 5, 6}};
   status.cancelled = {"req-000007"};
--- a/tests/unit/shared_state_cache_test.cpp
+++ b/tests/unit/shared_state_cache_test.cpp
@@ -53,14 +53,14 @@
 
 TEST_F(DirectoryTest, TheProofStandsStillWithTheService) {
   queue.run_until(10);
-  const double age = caller.now_s() - shared_state.fresh_as_of_s();
-  EXPECT_LT(age, 2.5);
+  const Seconds age = caller.now() - shared_state.fresh_as_of();
+  EXPECT_LT(age, Seconds{2.5});
   service.set_down(true);
   queue.run_until(30);
-  EXPECT_GT(caller.now_s() - shared_state.fresh_as_of_s(), 20);
+  EXPECT_GT(caller.now() - shared_state.fresh_as_of(), Seconds{20});
   service.set_down(false);
   queue.run_until(35);
-  EXPECT_LT(caller.now_s() - shared_state.fresh_as_of_s(), 2.5);
+  EXPECT_LT(caller.now() - shared_state.fresh_as_of(), Seconds{2.5});
 }
 
 }  // namespace
