--- a/src/cluster/snapshot.hpp
+++ b/src/cluster/snapshot.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// A snapshot of the journal: the leader's model in as few entries as describe it. Pure.
+/// A snapshot of the journal: the leader's state in as few entries as describe it. Pure.
 #pragma once
 
 #include <map>
@@ -7,22 +7,14 @@
 #include <vector>
 
 #include "cluster/cluster_state.hpp"
-#include "storage/journal.hpp"
+#include "storage/journal_entry.hpp"
 
 namespace poppystile::cluster {
 
-using storage::Json;
-using storage::RentalRecord;
-
-/// What one entry may carry at most, so that it fits a record.
-struct EntryLimits {
-  std::size_t max_runs = 1;
-  std::size_t max_bitmap_tasks = 4;
-};
-
-/// Replaying these entries gives what replaying everything appended so far would give.
-std::vector<Json> snapshot_entries(const ClusterState& cluster_state,
-                                   const std::map<std::string, RentalRecord>& rentals,
-                                   const EntryLimits& limits);
+/// Replaying these entries gives what replaying everything appended so far would give. `rentals`:
+/// by name. No entry exceeds the limits.
+std::vector<storage::JournalEntry> snapshot_entries(
+    const ClusterState& cluster_state, const std::map<std::string, storage::RentalRecord>& rentals,
+    const storage::EntryLimits& limits);
 
 }  // namespace poppystile::cluster
--- a/src/coordination/fleet/fleet_manager.cpp
+++ b/src/coordination/fleet/fleet_manager.cpp
@@ -79,9 +79,8 @@
 
 Machine* FleetManager::admit(Machine machine) {
   if (!apply_machine_type(machine)) return nullptr;
-  journal_.append(storage::machine_registered_entry(machine.id, machine.type, machine.zone,
-                                                    machine.spot, machine.incarnation,
-                                                    machine.rented_at));
+  journal_.append(storage::MachineRegistered{machine.id, machine.type, machine.zone, machine.spot,
+                                             machine.incarnation, machine.rented_at});
   const std::string id = machine.id;
   return &cluster_state_->machines.insert_or_assign(id, std::move(machine)).first->second;
 }
@@ -189,7 +188,7 @@
 
 void FleetManager::settle_rental(const std::string& name) {
   rentals_.erase(name);
-  journal_.append(storage::rental_settled_entry(name));
+  journal_.append(storage::RentalSettled{name});
 }
 
 void FleetManager::on_rented(const std::string& name, const std::string& body) {
@@ -246,7 +245,7 @@
         "h-" + std::to_string(election_.token()) + "-" + std::to_string(++names_);
     Rental rental{{want.offer.type, want.offer.zone, want.offer.spot, want.count}};
     // The intent is written before the request is made.
-    rental.log_position = journal_.append(storage::rental_requested_entry(name, rental.record));
+    rental.log_position = journal_.append(storage::RentalRequested{name, rental.record});
     rentals_[name] = rental;
   }
   demands_.emplace_back(context.now, plan.demand_cpus);
--- a/src/coordination/journal/journal_writer.cpp
+++ b/src/coordination/journal/journal_writer.cpp
@@ -7,10 +7,13 @@
 #include <utility>
 
 #include "constants.hpp"
+#include "storage/journal_codec.hpp"
+#include "storage/journal_replay.hpp"
 
 namespace poppystile::coordination {
 
 namespace keys = storage::keys;
+using storage::JournalEntry;
 using storage::JournalHead;
 using storage::Json;
 using storage::ReplayedState;
@@ -52,36 +55,33 @@
 
 // Only the leader writes here, so the pages of a listing fit together.
 void JournalWriter::list(std::function<void(std::optional<ReplayedState>)> done) {
-  key_value_client_.list_all(keys::journal, RequestPriority::journal,
-                             [this, term = term_, done = std::move(done)](
-                                 CallStatus outcome, const protocol::EntryPage& page) {
-                               if (term != term_) return;
-                               if (outcome != CallStatus::ok)
-                                 return later([this, done] { list(done); });
-                               storage::JournalReplay reader;
-                               std::optional<ReplayedState> replayed;
-                               try {
-                                 for (const auto& each : page.entries)
-                                   versions_[each.key] = each.version;
-                                 for (const auto& each : page.entries)
-                                   reader.add(each.key, each.value);
-                                 replayed = reader.replay();
-                               } catch (const protocol::DecodeError& problem) {
-                                 // Never read as "nothing is placed": the caller has to wait until
-                                 // nothing can be.
-                                 spdlog::error("journal not understood why=\"{}\"", problem.what());
-                                 return done(std::nullopt);
-                               }
-                               if (reader.empty()) return check_for_legacy_records(done);
-                               head_ = reader.head();
-                               next_number_ = std::max(reader.last_segment() + 1, head_.from);
-                               // Its size is not told by the parts alone; the next snapshot sets
-                               // it.
-                               segment_bytes_since_snapshot_ =
-                                   constants::min_journal_bytes_before_snapshot / 2;
-                               open_ = true;
-                               done(std::move(replayed));
-                             });
+  key_value_client_.list_all(
+      keys::journal, RequestPriority::journal,
+      [this, term = term_, done = std::move(done)](CallStatus outcome,
+                                                   const protocol::EntryPage& page) {
+        if (term != term_) return;
+        if (outcome != CallStatus::ok) return later([this, done] { list(done); });
+        storage::JournalReplay reader;
+        std::optional<ReplayedState> replayed;
+        try {
+          for (const auto& each : page.entries) versions_[each.key] = each.version;
+          for (const auto& each : page.entries) reader.add(each.key, each.value);
+          replayed = reader.replay();
+        } catch (const protocol::DecodeError& problem) {
+          // Never read as "nothing is placed": the caller has to wait until
+          // nothing can be.
+          spdlog::error("journal not understood why=\"{}\"", problem.what());
+          return done(std::nullopt);
+        }
+        if (reader.empty()) return check_for_legacy_records(done);
+        head_ = reader.head();
+        next_number_ = std::max(reader.last_segment() + 1, head_.first_segment);
+        // Its size is not told by the parts alone; the next snapshot sets
+        // it.
+        segment_bytes_since_snapshot_ = constants::min_journal_bytes_before_snapshot / 2;
+        open_ = true;
+        done(std::move(replayed));
+      });
 }
 
 void JournalWriter::check_for_legacy_records(
@@ -130,33 +130,32 @@
 
 // --- writing ---
 
-std::size_t JournalWriter::max_entry_runs() const {
-  return std::clamp<std::size_t>(
-      settings_.state_limits.max_value_bytes() / constants::journal_run_bytes, 1,
-      constants::max_journal_entry_runs);
-}
-
-std::size_t JournalWriter::max_bitmap_tasks() const {
-  const double hex_digits =
-      constants::bitmap_value_share * static_cast<double>(settings_.state_limits.max_value_bytes());
-  // Whole hex digits of four tasks each.
-  return std::clamp<std::size_t>(4 * static_cast<std::size_t>(hex_digits), 4,
-                                 constants::max_bitmap_chunk_tasks);
+storage::EntryLimits JournalWriter::entry_limits() const {
+  const std::size_t max_bytes = settings_.state_limits.max_value_bytes();
+  const double hex_digits = constants::bitmap_value_share * static_cast<double>(max_bytes);
+  return {
+      std::clamp<std::size_t>(max_bytes / constants::journal_run_bytes, 1,
+                              constants::max_journal_entry_runs),
+      // Whole hex digits of four tasks each.
+      std::clamp<std::size_t>(4 * static_cast<std::size_t>(hex_digits), 4,
+                              constants::max_bitmap_chunk_tasks),
+  };
 }
 
-std::uint64_t JournalWriter::append(Json entry) {
-  if (pending_.empty() || !storage::merge_entries(pending_.back(), entry, max_entry_runs()))
+std::uint64_t JournalWriter::append(JournalEntry entry) {
+  if (pending_.empty() ||
+      !storage::merge_entries(pending_.back(), entry, entry_limits().max_elements))
     pending_.push_back(std::move(entry));
   return ++appended_position_;
 }
 
 // The texts of entries, in groups that fit a record each.
 std::vector<std::vector<std::string>> JournalWriter::group_by_record_size(
-    const std::vector<Json>& entries) const {
+    const std::vector<JournalEntry>& entries) const {
   std::vector<std::vector<std::string>> out;
   std::size_t bytes = 0;
-  for (const Json& each : entries) {
-    std::string text = each.dump();
+  for (const JournalEntry& each : entries) {
+    std::string text = storage::encode(each).dump();
     if (out.empty() || bytes + text.size() > settings_.state_limits.max_value_bytes()) {
       out.emplace_back();
       bytes = 0;
@@ -200,7 +199,7 @@
   for (const auto& texts : group_by_record_size(on_snapshot_())) {
     Record part;
     part.number = next_head_->generation;
-    part.key = storage::snapshot_key(part.number, next_head_->parts++);
+    part.key = storage::snapshot_key(part.number, next_head_->snapshot_chunks++);
     part.value = storage::encode_chunk(part.number, election_.token(), texts);
     snapshot_bytes_ += part.value.size();
     snapshot_chunks_.push_back(std::move(part));
@@ -208,7 +207,7 @@
 }
 
 std::uint64_t JournalWriter::max_segments_since_snapshot() const {
-  const std::uint64_t parts = next_head_ ? next_head_->parts : head_.parts;
+  const std::uint64_t parts = next_head_ ? next_head_->snapshot_chunks : head_.snapshot_chunks;
   return std::clamp(constants::open_segments_per_chunk * parts, constants::min_open_segments,
                     constants::journal_ring);
 }
@@ -216,7 +215,7 @@
 // Of the segments that are left when a snapshot begins, half may be used up until it has landed.
 std::size_t JournalWriter::snapshot_chunks_per_write() const {
   const std::uint64_t writes = max_segments_since_snapshot() / 4;
-  const std::uint64_t parts = next_head_ ? next_head_->parts : 0;
+  const std::uint64_t parts = next_head_ ? next_head_->snapshot_chunks : 0;
   return std::max<std::size_t>(constants::min_snapshot_chunks_per_write,
                                (parts + writes - 1) / writes);
 }
@@ -237,7 +236,7 @@
   };
   // The ring's oldest segments are needed until the next snapshot counts.
   while (!segments_.empty() && fits(segments_.front()) &&
-         segments_.front().number - head_.from < max_segments_since_snapshot())
+         segments_.front().number - head_.first_segment < max_segments_since_snapshot())
     take(segments_);
   const std::size_t parts_a_write = snapshot_chunks_per_write();
   for (std::size_t i = 0;
@@ -315,7 +314,7 @@
       head_ = *next_head_;
       next_head_.reset();
       spdlog::debug("journal snapshot generation={} parts={} bytes={}", head_.generation,
-                    head_.parts, snapshot_bytes_);
+                    head_.snapshot_chunks, snapshot_bytes_);
     }
   }
   batch_.clear();
--- a/src/coordination/journal/journal_writer.hpp
+++ b/src/coordination/journal/journal_writer.hpp
@@ -18,7 +18,9 @@
 #include "coordination/election/leader_election.hpp"
 #include "coordination/state/key_value_client.hpp"
 #include "protocol/settings.hpp"
-#include "storage/journal.hpp"
+#include "storage/journal_entry.hpp"
+#include "storage/journal_records.hpp"
+#include "storage/replayed_state.hpp"
 
 namespace poppystile::coordination {
 
@@ -34,19 +36,18 @@
   void end_term();  // this node no longer leads
 
   // Returns the log_position up to which the journal must land for the entry to be durable.
-  std::uint64_t append(storage::Json entry);
+  std::uint64_t append(storage::JournalEntry entry);
   bool is_durable(std::uint64_t log_position) const { return log_position <= committed_position_; }
   // What one entry may carry at most, so that it fits a record.
-  std::size_t max_entry_runs() const;
-  std::size_t max_bitmap_tasks() const;
+  storage::EntryLimits entry_limits() const;
   void pump();  // called often while leading
   // Segments a successor would have to read after the snapshot.
   // Segments that may be written before the next snapshot counts.
   std::uint64_t max_segments_since_snapshot() const;
-  std::uint64_t segments_since_snapshot() const { return next_number_ - head_.from; }
+  std::uint64_t segments_since_snapshot() const { return next_number_ - head_.first_segment; }
   void on_committed(std::function<void()> handler) { on_committed_ = std::move(handler); }
   // Asked for the entries that describe everything appended so far.
-  void on_snapshot(std::function<std::vector<storage::Json>()> handler) {
+  void on_snapshot(std::function<std::vector<storage::JournalEntry>()> handler) {
     on_snapshot_ = std::move(handler);
   }
 
@@ -62,7 +63,7 @@
   void check_for_legacy_records(
       const std::function<void(std::optional<storage::ReplayedState>)>& done);
   std::vector<std::vector<std::string>> group_by_record_size(
-      const std::vector<storage::Json>& entries) const;
+      const std::vector<storage::JournalEntry>& entries) const;
   void seal_segments();
   void maybe_start_snapshot();
   void fill_batch();
@@ -80,7 +81,7 @@
   std::uint64_t term_ = 0;
   bool open_ = false;
   std::unordered_map<std::string, std::uint64_t> versions_;  // of all keys of the journal
-  std::vector<storage::Json> pending_;
+  std::vector<storage::JournalEntry> pending_;
   std::uint64_t appended_position_ = 0, committed_position_ = 0;  // marks
   std::uint64_t next_number_ = 1;
   std::deque<Record> segments_;         // cut, not in a batch yet
@@ -93,7 +94,7 @@
   bool write_in_flight_ = false;
   SteadyTime next_send_at_;
   std::function<void()> on_committed_;
-  std::function<std::vector<storage::Json>()> on_snapshot_;
+  std::function<std::vector<storage::JournalEntry>()> on_snapshot_;
 };
 
 }  // namespace poppystile::coordination
--- a/src/coordination/leader/heartbeat_handler.cpp
+++ b/src/coordination/leader/heartbeat_handler.cpp
@@ -18,6 +18,7 @@
 using protocol::ExitCause;
 using protocol::ReportedTask;
 using protocol::TaskState;
+using storage::IndexRange;
 
 namespace {
 
@@ -113,7 +114,7 @@
   }
   machine.incarnation = incarnation;
   machine.incarnation_started_at = now;
-  journal_.append(storage::incarnation_started_entry(machine.id, incarnation));
+  journal_.append(storage::IncarnationStarted{machine.id, incarnation});
 }
 
 // A worker that hears nobody tries one node after the other, so its reports come to us seldom, and
@@ -196,7 +197,7 @@
 void HeartbeatHandler::record_cached_image(Machine& machine, const Job& job) {
   const bool known = machine.holds(job.spec().image);
   machine.mark_image_used(job.spec().image, job.spec().image_gb);
-  if (!known) journal_.append(storage::image_cached_entry(machine.id, machine.images.back()));
+  if (!known) journal_.append(storage::ImageCached{machine.id, machine.images.back()});
 }
 
 void HeartbeatHandler::on_exited(Machine& machine, Placement& placement, ExitCause cause) {
@@ -218,7 +219,7 @@
   job->finish(placement.index);
   // The worker keeps the task until this has landed.
   placement.log_position =
-      journal_.append(storage::task_finished_entry(placement.job, placement.index));
+      journal_.append(storage::TaskFinished{placement.job, {IndexRange::single(placement.index)}});
   finalizer_.enqueue_if_final(placement.job, *job);
 }
 
@@ -231,7 +232,7 @@
   gang.reset_failures();
   gang.finish_all();
   placement.log_position =
-      journal_.append(storage::task_finished_entry(placement.job, placement.index));
+      journal_.append(storage::TaskFinished{placement.job, {IndexRange::single(placement.index)}});
   finalizer_.enqueue_if_final(placement.job, gang);
 }
 
@@ -321,7 +322,7 @@
   request_plan_();
   Job* job = cluster_state_.job(placement.job);
   if (job == nullptr) return;
-  journal_.append(storage::placement_ended_entry(placement.job, placement.index));
+  journal_.append(storage::PlacementEnded{placement.job, {IndexRange::single(placement.index)}});
   if (job->is_task_finished(placement.index)) return;  // of a gang that is done
   job->requeue(placement.index);
   if (job->is_gang()) GangTracker::on_task_lost(*job, machine.id, runtime_.now());
--- a/src/coordination/leader/leader.cpp
+++ b/src/coordination/leader/leader.cpp
@@ -18,6 +18,7 @@
 using cluster::PlacementPhase;
 using cluster::TaskPhase;
 using protocol::Command;
+using storage::IndexRange;
 using storage::ReplayedMachine;
 using storage::ReplayedState;
 using transport::HttpResponse;
@@ -44,12 +45,12 @@
   journal_.on_committed([this] { send_due_responses(); });
   journal_.on_snapshot([this] {
     return cluster::snapshot_entries(cluster_state_, fleet_.rental_records(),
-                                     {journal_.max_entry_runs(), journal_.max_bitmap_tasks()});
+                                     journal_.entry_limits());
   });
   fleet_.on_machine_removed([this](Machine& machine, const std::string& why) {
     heartbeats_.evict_all(machine, why);
     pending_responses_.erase(machine.id);
-    journal_.append(storage::machine_removed_entry(machine.id));
+    journal_.append(storage::MachineRemoved{machine.id});
     cluster_state_.machines.erase(std::string(machine.id));
   });
 }
@@ -427,8 +428,8 @@
     if (job.is_gang()) GangTracker::on_placed(job, plan_attempt, now);
     const std::uint64_t attempt = job.is_gang() ? job.gang.number : plan_attempt;
     Placement& placed = cluster_state_.place(machine, job, attempt, now);
-    placed.log_position =
-        journal_.append(storage::task_placed_entry(placed.job, attempt, machine.id, placed.index));
+    placed.log_position = journal_.append(
+        storage::TaskPlaced{placed.job, attempt, {{machine.id, IndexRange::single(placed.index)}}});
     if (job.is_gang()) gang_positions[job.spec().id] = placed.log_position;
     spdlog::debug("task placed job={} index={} machine={}", placed.job, placed.index, machine.id);
   }
--- a/src/storage/records.hpp
+++ b/src/storage/records.hpp
@@ -1,7 +1,7 @@
 // The records kept in the state service: their keys, and the codec of their values.
 //
 // Everything that every controller needs to see sits under `shared/`, so that one watch carries
-// it; what only the leader needs is in its journal (see journal.hpp).
+// it; what only the leader needs is in its journal (journal_entry.hpp).
 #pragma once
 
 #include <cstdint>
@@ -26,6 +26,8 @@
 inline const std::string over = "shared/over/";
 inline const std::string journal = "journal/";
 inline const std::string journal_head = "journal/head";
+inline const std::string journal_segments = "journal/log/";
+inline const std::string journal_snapshots = "journal/snap/";
 // Of the first version, which kept one record for each machine.
 inline const std::string legacy_machines = "machine/";
 }  // namespace keys
--- a/tests/unit/codec_test.cpp
+++ b/tests/unit/codec_test.cpp
@@ -11,7 +11,8 @@
 #include "protocol/submission.hpp"
 #include "protocol/worker_messages.hpp"
 #include "simulation/test_clock.hpp"
-#include "storage/journal.hpp"
+#include "storage/journal_codec.hpp"
+#include "storage/journal_replay.hpp"
 #include "storage/records.hpp"
 
 namespace poppystile {
@@ -243,8 +244,8 @@
       R"({"stiles":[{"id":"n-1","build":"g8","yard":"a","loaners":true,"stage":"running","held_s":6}],"more":false})";
   const std::string segment = storage::encode_chunk(
       1, 1,
-      {storage::machine_registered_entry("n-1", "g", "a", false, 1, wall_at(2)).dump(),
-       storage::task_placed_entry("req-1", 3, "n-1", 4).dump()});
+      {storage::encode(storage::MachineRegistered{"n-1", "g", "a", false, 1, wall_at(2)}).dump(),
+       storage::encode(storage::TaskPlaced{"req-1", 3, {{"n-1", {4, 4}}}}).dump()});
   const std::pair<std::string, std::function<void(const std::string&)>> targets[] = {
       {submission, [](auto& s) { protocol::parse_submission(protocol::parse_object(s)); }},
       {report, [](auto& s) { protocol::parse_heartbeat(s); }},
--- a/tests/unit/journal_test.cpp
+++ b/tests/unit/journal_test.cpp
@@ -1,51 +1,51 @@
 // The journal's entries and what replaying them gives.
-#include "storage/journal.hpp"
-
 #include <gtest/gtest.h>
 
 #include "constants.hpp"
 #include "simulation/test_clock.hpp"
+#include "storage/journal_codec.hpp"
+#include "storage/journal_replay.hpp"
 
 namespace poppystile::storage {
 namespace {
 
 using protocol::DecodeError;
 
-std::vector<Json> merged(const std::vector<Json>& entries) {
-  std::vector<Json> out;
-  for (const Json& each : entries)
+std::vector<JournalEntry> merged(const std::vector<JournalEntry>& entries) {
+  std::vector<JournalEntry> out;
+  for (const JournalEntry& each : entries)
     if (out.empty() || !merge_entries(out.back(), each, constants::max_journal_entry_runs))
       out.push_back(each);
   return out;
 }
 
-ReplayedState replay(const std::vector<Json>& entries) {
+ReplayedState replay(const std::vector<JournalEntry>& entries) {
   ReplayedState out;
-  for (const Json& each : entries) out.apply(each);
+  for (const JournalEntry& each : entries) out.apply(each);
   return out;
 }
 
-std::vector<std::string> texts(const std::vector<Json>& entries) {
+std::vector<std::string> texts(const std::vector<JournalEntry>& entries) {
   std::vector<std::string> out;
   out.reserve(entries.size());
-  for (const Json& each : entries) out.push_back(each.dump());
+  for (const JournalEntry& each : entries) out.push_back(encode(each).dump());
   return out;
 }
 
-const std::vector<Json> day = {machine_registered_entry("n-1", "g", "a", false, 0, wall_at(5)),
-                               machine_registered_entry("n-2", "g", "b", true, 0, wall_at(6)),
-                               incarnation_started_entry("n-1", 1),
-                               incarnation_started_entry("n-2", 1),
-                               task_placed_entry("req-1", 7, "n-1", 0),
-                               task_placed_entry("req-1", 7, "n-1", 1),
-                               task_placed_entry("req-1", 7, "n-2", 2),
-                               image_cached_entry("n-1", {"img", 2.5}),
-                               task_finished_entry("req-1", 0),
-                               placement_ended_entry("req-1", 2),
-                               task_placed_entry("req-1", 9, "n-1", 2),
-                               rental_requested_entry("h-1-1", {"g", "a", true, 4}),
-                               rental_requested_entry("h-1-2", {"g", "b", false, 2}),
-                               rental_settled_entry("h-1-1")};
+const std::vector<JournalEntry> day = {MachineRegistered{"n-1", "g", "a", false, 0, wall_at(5)},
+                                       MachineRegistered{"n-2", "g", "b", true, 0, wall_at(6)},
+                                       IncarnationStarted{"n-1", 1},
+                                       IncarnationStarted{"n-2", 1},
+                                       TaskPlaced{"req-1", 7, {{"n-1", {0, 0}}}},
+                                       TaskPlaced{"req-1", 7, {{"n-1", {1, 1}}}},
+                                       TaskPlaced{"req-1", 7, {{"n-2", {2, 2}}}},
+                                       ImageCached{"n-1", {"img", 2.5}},
+                                       TaskFinished{"req-1", {{0, 0}}},
+                                       PlacementEnded{"req-1", {{2, 2}}},
+                                       TaskPlaced{"req-1", 9, {{"n-1", {2, 2}}}},
+                                       RentalRequested{"h-1-1", {"g", "a", true, 4}},
+                                       RentalRequested{"h-1-2", {"g", "b", false, 2}},
+                                       RentalSettled{"h-1-1"}};
 
 TEST(Journal, ReplayGivesThePresent) {
   const ReplayedState replayed = replay(day);
@@ -73,25 +73,25 @@
 
 TEST(Journal, ALaterSessionAndALossEmptyTheMachine) {
   auto entries = day;
-  entries.push_back(incarnation_started_entry("n-1", 2));
+  entries.push_back(IncarnationStarted{"n-1", 2});
   EXPECT_TRUE(replay(entries).jobs.at("req-1").placed.empty());
   EXPECT_EQ(replay(entries).machines.at("n-1").incarnation, 2u);
   entries = day;
-  entries.push_back(machine_removed_entry("n-1"));
+  entries.push_back(MachineRemoved{"n-1"});
   EXPECT_TRUE(replay(entries).jobs.at("req-1").placed.empty());
   EXPECT_FALSE(replay(entries).machines.contains("n-1"));
 }
 
 TEST(Journal, WhatHasFinishedIsNeverPlacedAgain) {
   auto entries = day;
-  entries.push_back(task_placed_entry("req-1", 12, "n-2", 0));
+  entries.push_back(TaskPlaced{"req-1", 12, {{"n-2", {0, 0}}}});
   EXPECT_FALSE(replay(entries).jobs.at("req-1").placed.contains(0));
 }
 
 TEST(Journal, BitmapsRoundTrip) {
   std::vector<bool> bits(131);
   for (std::size_t i = 0; i < bits.size(); i += 3) bits[i] = true;
-  const ReplayedState replayed = replay({finished_bitmap_entry("req-1", 16, bits)});
+  const ReplayedState replayed = replay({FinishedBitmap{"req-1", 16, bits}});
   for (std::uint32_t i = 0; i < 160; ++i)
     EXPECT_EQ(replayed.jobs.at("req-1").is_finished(i), i >= 16 && i < 147 && (i - 16) % 3 == 0);
 }
@@ -107,13 +107,11 @@
   const auto reader = reader_of(
       {{keys::journal_head, head},
        {snapshot_key(3, 0),
-        encode_chunk(3, 2,
-                     texts({machine_registered_entry("n-1", "g", "a", false, 1, wall_at(5))}))},
+        encode_chunk(3, 2, texts({MachineRegistered{"n-1", "g", "a", false, 1, wall_at(5)}}))},
        {snapshot_key(2, 0),
-        encode_chunk(2, 2,
-                     texts({machine_registered_entry("n-9", "g", "a", false, 1, wall_at(5))}))},
-       {segment_key(6), encode_chunk(6, 2, texts({machine_removed_entry("n-1")}))},
-       {segment_key(7), encode_chunk(7, 2, texts({task_placed_entry("req-1", 4, "n-1", 0)}))}});
+        encode_chunk(2, 2, texts({MachineRegistered{"n-9", "g", "a", false, 1, wall_at(5)}}))},
+       {segment_key(6), encode_chunk(6, 2, texts({MachineRemoved{"n-1"}}))},
+       {segment_key(7), encode_chunk(7, 2, texts({TaskPlaced{"req-1", 4, {{"n-1", {0, 0}}}}}))}});
   const ReplayedState replayed = reader.replay();
   EXPECT_TRUE(replayed.machines.contains("n-1"));
   EXPECT_FALSE(replayed.machines.contains("n-9"));
@@ -125,7 +123,7 @@
 TEST(Journal, WhatIsMissingOrUnknownIsRefused) {
   const auto segment = [](std::uint64_t number) {
     return std::make_pair(segment_key(number),
-                          encode_chunk(number, 1, texts({machine_removed_entry("n-1")})));
+                          encode_chunk(number, 1, texts({MachineRemoved{"n-1"}})));
   };
   EXPECT_NO_THROW(reader_of({segment(1), segment(2)}).replay());
   EXPECT_THROW(reader_of({segment(1), segment(3)}).replay(), DecodeError);
@@ -134,10 +132,9 @@
                DecodeError);
   EXPECT_THROW(reader_of({{segment_key(1), R"({"v":1,"n":1,"t":1,"e":[]})"}}), DecodeError);
   EXPECT_THROW(reader_of({{"journal/else", R"({"v":2})"}}), DecodeError);
-  ReplayedState replayed;
-  EXPECT_THROW(replayed.apply(Json::array({"z", "n-1"})), DecodeError);
-  EXPECT_THROW(replayed.apply(Json::array({"p", "req-1", 3})), DecodeError);
-  EXPECT_THROW(replayed.apply(Json::array({"p", "req-1", 3, Json::array({"n-1", 4, 2})})),
+  EXPECT_THROW(decode_entry(Json::array({"z", "n-1"})), DecodeError);
+  EXPECT_THROW(decode_entry(Json::array({"p", "req-1", 3})), DecodeError);
+  EXPECT_THROW(decode_entry(Json::array({"p", "req-1", 3, Json::array({"n-1", 4, 2})})),
                DecodeError);
 }
 
--- a/tests/unit/journal_writer_test.cpp
+++ b/tests/unit/journal_writer_test.cpp
@@ -15,6 +15,7 @@
 #include "simulation/fake_http_caller.hpp"
 #include "simulation/state_service.hpp"
 #include "simulation/test_clock.hpp"
+#include "storage/journal_codec.hpp"
 
 namespace poppystile::coordination {
 namespace {
@@ -44,18 +45,18 @@
     });
     election->on_deposed([this] { lost = true; });
     journal->on_snapshot([this] {
-      std::vector<storage::Json> out;
+      std::vector<storage::JournalEntry> out;
       for (const auto& [id, machine] : replayed.machines)
-        out.push_back(storage::machine_registered_entry(id, "g", "a", false, machine.incarnation,
-                                                        wall_at(0)));
+        out.push_back(
+            storage::MachineRegistered{id, "g", "a", false, machine.incarnation, wall_at(0)});
       return out;
     });
     shared_state->start();
     election->start();
   }
   // Appends as a leader does, and keeps the ledger that its successor should find.
-  std::uint64_t append(const storage::Json& entry) {
-    replayed.apply(storage::Json::parse(entry.dump()));
+  std::uint64_t append(const storage::JournalEntry& entry) {
+    replayed.apply(storage::decode_entry(storage::Json::parse(storage::encode(entry).dump())));
     return journal->append(entry);
   }
 
@@ -112,8 +113,8 @@
       const std::string id = "n-" + std::to_string(random() % 40);
       const std::uint64_t incarnation = ++made;
       if (!life.replayed.machines.contains(id))
-        life.append(storage::machine_registered_entry(id, "g", "a", false, 0, wall_at(0)));
-      marks.emplace_back(life.append(storage::incarnation_started_entry(id, incarnation)), id,
+        life.append(storage::MachineRegistered{id, "g", "a", false, 0, wall_at(0)});
+      marks.emplace_back(life.append(storage::IncarnationStarted{id, incarnation}), id,
                          incarnation);
     });
     EXPECT_FALSE(life.lost) << "round " << round;
@@ -133,14 +134,13 @@
 TEST_F(JournalDeskTest, ALateTransactionOfAFormerLeaderChangesNothing) {
   Life& former = begin();
   former.hold_journal_s = 12;
-  former.append(storage::machine_registered_entry("n-1", "g", "a", false, 0, wall_at(0)));
+  former.append(storage::MachineRegistered{"n-1", "g", "a", false, 0, wall_at(0)});
   former.journal->pump();
   Life& life = begin();
   ASSERT_TRUE(life.loaded);
   EXPECT_FALSE(life.replayed.machines.contains("n-1"));
   run(life, 15, [] {});
-  const auto mark =
-      life.append(storage::machine_registered_entry("n-2", "g", "a", false, 0, wall_at(0)));
+  const auto mark = life.append(storage::MachineRegistered{"n-2", "g", "a", false, 0, wall_at(0)});
   run(life, 3, [] {});
   EXPECT_FALSE(life.lost);
   EXPECT_TRUE(life.journal->is_durable(mark));
@@ -157,8 +157,8 @@
   run(life, 200, [&] {
     const std::string id = "n-" + std::to_string(made % 40);
     if (!life.replayed.machines.contains(id))
-      life.append(storage::machine_registered_entry(id, "g", "a", false, 0, wall_at(0)));
-    const auto mark = life.append(storage::incarnation_started_entry(id, ++made));
+      life.append(storage::MachineRegistered{id, "g", "a", false, 0, wall_at(0)});
+    const auto mark = life.append(storage::IncarnationStarted{id, ++made});
     marks.emplace_back(mark, id, made);
     for (; !marks.empty() && life.journal->is_durable(std::get<0>(marks.front()));
          marks.pop_front())
@@ -174,11 +174,11 @@
 // What the service will not take once its limits have fallen must not be cut to the present ones.
 TEST_F(JournalDeskTest, EntriesFollowTheLimitsOfTheSettings) {
   Life& life = begin();
-  EXPECT_EQ(life.journal->max_entry_runs(), constants::max_journal_entry_runs);
-  EXPECT_EQ(life.journal->max_bitmap_tasks(), 14744u);
+  EXPECT_EQ(life.journal->entry_limits().max_elements, constants::max_journal_entry_runs);
+  EXPECT_EQ(life.journal->entry_limits().max_bitmap_tasks, 14744u);
   life.settings.state_limits.value_kb = 2;
-  EXPECT_EQ(life.journal->max_entry_runs(), 46u);
-  EXPECT_EQ(life.journal->max_bitmap_tasks(), 3684u);
+  EXPECT_EQ(life.journal->entry_limits().max_elements, 46u);
+  EXPECT_EQ(life.journal->entry_limits().max_bitmap_tasks, 3684u);
 }
 
 // Where values are small every transaction has many changes. The journal once took all that the
@@ -194,7 +194,7 @@
     for (int i = 0; i < 20; ++i) {
       ++made;
       const std::string id = "n-" + std::to_string(made % 500);
-      life.append(storage::machine_registered_entry(id, "g", "a", false, made, wall_at(0)));
+      life.append(storage::MachineRegistered{id, "g", "a", false, made, wall_at(0)});
     }
   });
   const auto changes = static_cast<double>(service.changes() - before);
--- a/tests/unit/production_forms_test.cpp
+++ b/tests/unit/production_forms_test.cpp
@@ -2,14 +2,14 @@
 /// Stored and peer forms of arrays and services, as the version in production (commit 94473f9,
 /// `production` in deploy/service.toml) writes them. Both versions serve side by side during an
 /// upgrade and each works on the other's data, so this version must read these samples and write
-/// the same bytes. The file compiles against that commit's headers too, which is how the samples
-/// were recorded and checked.
+/// the same bytes. The samples were recorded and checked with that commit's sources.
 #include <gtest/gtest.h>
 
 #include "protocol/peer_messages.hpp"
 #include "protocol/submission.hpp"
 #include "simulation/test_clock.hpp"
-#include "storage/journal.hpp"
+#include "storage/journal_codec.hpp"
+#include "storage/journal_replay.hpp"
 #include "storage/records.hpp"
 
 namespace poppystile {
@@ -63,20 +63,20 @@
 
 TEST(ProductionForms, JournalEntriesAreWrittenAlike) {
   using namespace storage;
-  const std::vector<Json> entries = {
-      machine_registered_entry("n-000001", "g8", "a", false, 0, wall_at(1700000000.5)),
-      incarnation_started_entry("n-000001", 3),
-      image_cached_entry("n-000001", {"img-07", 6.2}),
-      task_placed_entry("req-000412", (std::uint64_t{41} << 24) + 1, "n-000001", 0),
-      placement_ended_entry("req-000412", 0),
-      task_finished_entry("req-000412", 1),
-      finished_bitmap_entry("req-000412", 4, {true, true, false, true, false}),
-      rental_requested_entry("h-41-1", {"g8", "a", true, 12}),
-      rental_settled_entry("h-41-1"),
-      machine_removed_entry("n-000002")};
+  const std::vector<JournalEntry> entries = {
+      MachineRegistered{"n-000001", "g8", "a", false, 0, wall_at(1700000000.5)},
+      IncarnationStarted{"n-000001", 3},
+      ImageCached{"n-000001", {"img-07", 6.2}},
+      TaskPlaced{"req-000412", (std::uint64_t{41} << 24) + 1, {{"n-000001", {0, 0}}}},
+      PlacementEnded{"req-000412", {{0, 0}}},
+      TaskFinished{"req-000412", {{1, 1}}},
+      FinishedBitmap{"req-000412", 4, {true, true, false, true, false}},
+      RentalRequested{"h-41-1", {"g8", "a", true, 12}},
+      RentalSettled{"h-41-1"},
+      MachineRemoved{"n-000002"}};
   std::vector<std::string> texts;
   texts.reserve(entries.size());
-  for (const Json& each : entries) texts.push_back(each.dump());
+  for (const JournalEntry& each : entries) texts.push_back(encode(each).dump());
   EXPECT_EQ(encode_chunk(8, 41, texts), segment);
   EXPECT_EQ(encode(JournalHead{3, 2, 8}).dump(), R"({"from":8,"gen":3,"parts":2,"v":2})");
   EXPECT_EQ(segment_key(5), "journal/log/5");
