--- a/src/coordination/api/job_api.cpp
+++ b/src/coordination/api/job_api.cpp
@@ -111,10 +111,10 @@
       [this, open = std::move(open), live = std::move(live)](TransactionResult result) mutable {
         const std::set<std::string> failed(result.failed.begin(), result.failed.end());
         for (auto& each : open) {
-          const bool told = result.outcome == CallStatus::ok && fresh();
+          const bool told = result.status == CallStatus::ok && fresh();
           if (told) {
             each.answer(live.contains(each.id) ? ReadResult::live : ReadResult::absent);
-          } else if (result.outcome != CallStatus::conflict) {
+          } else if (result.status != CallStatus::conflict) {
             each.answer(ReadResult::unsure);
           } else if (failed.contains(job_key(each.id)) ||
                      failed.contains(final_record_key(each.id))) {
@@ -237,7 +237,7 @@
       transaction, RequestPriority::user,
       [this, id, record, value, since,
        respond = std::move(respond)](const TransactionResult& result) {
-        switch (result.outcome) {
+        switch (result.status) {
           case CallStatus::ok:
             shared_state_.apply_response(job_key(id), value, result.revision);
             spdlog::info("job accepted id={} class={} team={} tasks={}", id, record.spec.job_class,
@@ -289,13 +289,13 @@
   key_value_client_.compare_and_swap(
       transaction, RequestPriority::user,
       [this, id, value, again, since, respond](const TransactionResult& result) {
-        if (result.outcome == CallStatus::ok) {
+        if (result.status == CallStatus::ok) {
           shared_state_.apply_response(job_key(id), value, result.revision);
           spdlog::info("job cancelled id={}", id);
           return respond({200, protocol::encode_submitted(id, JobState::cancelled)});
         }
-        if (result.outcome == CallStatus::conflict) return read_again(id, again);
-        if (result.outcome != CallStatus::throttled || !within_retry_deadline(since))
+        if (result.status == CallStatus::conflict) return read_again(id, again);
+        if (result.status != CallStatus::throttled || !within_retry_deadline(since))
           return respond(later());
         runtime_.after(constants::throttle_pause,
                        [this, id, since, respond] { mark_cancelled(id, since, respond); });
--- a/src/coordination/election/leader_election.cpp
+++ b/src/coordination/election/leader_election.cpp
@@ -71,7 +71,7 @@
   key_value_client_.compare_and_swap(
       transaction, RequestPriority::lease,
       [this, lease, token, sent_at](const TransactionResult& result) {
-        if (result.outcome == CallStatus::ok) {
+        if (result.status == CallStatus::ok) {
           campaigning_ = false;
           is_leader_ = true;
           lease_ = lease;
@@ -87,7 +87,7 @@
         }
         // With no answer the attempt may still succeed: then the watch shows our name,
         // and the next attempt replaces it under a higher token.
-        if (result.outcome != CallStatus::unknown) key_value_client_.revoke_lease(lease);
+        if (result.status != CallStatus::unknown) key_value_client_.revoke_lease(lease);
         runtime_.after(constants::state_retry_pause, [this] { campaigning_ = false; });
       });
 }
--- a/src/coordination/fleet/fleet_manager.cpp
+++ b/src/coordination/fleet/fleet_manager.cpp
@@ -147,7 +147,7 @@
   transaction.changes = {{storage::keys::catalog, value.dump(), 0}};
   key_value_client_.compare_and_swap(
       transaction, RequestPriority::user, [this, value](const TransactionResult& result) {
-        if (result.outcome == CallStatus::ok)
+        if (result.status == CallStatus::ok)
           return shared_state_.apply_response(storage::keys::catalog, value, result.revision);
         catalog_fetched_at_ = {};  // asked for and offered again
       });
--- a/src/coordination/journal/journal_writer.cpp
+++ b/src/coordination/journal/journal_writer.cpp
@@ -120,9 +120,9 @@
       transaction, RequestPriority::journal,
       [this, term = term_, removed, done](const TransactionResult& result) {
         if (term != term_) return;
-        if (result.outcome == CallStatus::conflict)
+        if (result.status == CallStatus::conflict)
           return election_.step_down("a write found another leader");
-        if (result.outcome != CallStatus::ok) return later([this, done] { reset(done); });
+        if (result.status != CallStatus::ok) return later([this, done] { reset(done); });
         for (const auto& key : removed) versions_.erase(key);
         reset(done);
       });
@@ -279,11 +279,11 @@
 
 void JournalWriter::on_write_result(const TransactionResult& result) {
   write_in_flight_ = false;
-  if (result.outcome == CallStatus::ok) return commit_batch(result.revision);
+  if (result.status == CallStatus::ok) return commit_batch(result.revision);
   // The same again would be refused again: a successor begins with a snapshot of its own.
-  if (result.outcome == CallStatus::invalid)
+  if (result.status == CallStatus::invalid)
     return election_.step_down("the state service refuses the journal");
-  if (result.outcome != CallStatus::conflict) {
+  if (result.status != CallStatus::conflict) {
     // Also when nobody knows whether it was carried out: the same again, word for word.
     next_send_at_ = std::max(next_send_at_, runtime_.now() + constants::journal_retry_pause);
     return;
--- a/src/coordination/leader/job_finalizer.cpp
+++ b/src/coordination/leader/job_finalizer.cpp
@@ -63,7 +63,7 @@
 void JobFinalizer::on_write_result(const std::vector<std::string>& jobs,
                                    const TransactionResult& result) {
   writing_ = false;
-  if (result.outcome != CallStatus::ok) {
+  if (result.status != CallStatus::ok) {
     if (!election_.step_down_if_deposed(result)) retry_later(jobs, result);
     return;
   }
@@ -83,7 +83,7 @@
                                const TransactionResult& result) {
   next_write_at_ = runtime_.now() + constants::state_retry_pause;
   // Not the same again: the sweep gathers them anew.
-  if (result.outcome == CallStatus::invalid) return;
+  if (result.status == CallStatus::invalid) return;
   for (const auto& id : jobs) {
     const Job* job = cluster_state_.job(id);
     const bool moved = std::find(result.failed.begin(), result.failed.end(),
--- a/src/coordination/state/key_value_client.cpp
+++ b/src/coordination/state/key_value_client.cpp
@@ -203,18 +203,18 @@
       false,
       [done = std::move(done)](HttpResponse response) {
         TransactionResult result;
-        result.outcome = outcome_of(response);
+        result.status = outcome_of(response);
         if (response.status == 400) {
-          result.outcome = protocol::names_expired_lease(response.body) ? CallStatus::lease_gone
-                                                                        : CallStatus::invalid;
+          result.status = protocol::names_expired_lease(response.body) ? CallStatus::lease_gone
+                                                                       : CallStatus::invalid;
           spdlog::error("transaction refused answer=\"{}\"", response.body.substr(0, 200));
         }
-        if (result.outcome == CallStatus::ok)
-          result.outcome = parsed(
-              result.outcome, [&] { result.revision = protocol::parse_revision(response.body); });
-        if (result.outcome == CallStatus::conflict)
-          result.outcome = parsed(
-              result.outcome, [&] { result.failed = protocol::parse_failed_keys(response.body); });
+        if (result.status == CallStatus::ok)
+          result.status = parsed(
+              result.status, [&] { result.revision = protocol::parse_revision(response.body); });
+        if (result.status == CallStatus::conflict)
+          result.status = parsed(
+              result.status, [&] { result.failed = protocol::parse_failed_keys(response.body); });
         done(std::move(result));
       }};
   enqueue(urgency, std::move(call));
--- a/src/coordination/state/key_value_client.hpp
+++ b/src/coordination/state/key_value_client.hpp
@@ -30,7 +30,7 @@
 };
 
 struct TransactionResult {
-  CallStatus outcome = CallStatus::unknown;
+  CallStatus status = CallStatus::unknown;
   std::uint64_t revision = 0;
   std::vector<std::string> failed;
 };
--- a/tests/unit/job_api_test.cpp
+++ b/tests/unit/job_api_test.cpp
@@ -12,7 +12,7 @@
 using protocol::Json;
 using transport::HttpResponse;
 
-class JobApiTest : public DirectoryFixture {
+class JobApiTest : public SharedStateFixture {
  protected:
   void SetUp() override {
     settings.state_limits.rps = 250;
@@ -24,7 +24,7 @@
         {"g8", {32000, 8000, 64000}, 50, 1, 1.0, 0.3, Seconds{20}, {"a", "b"}},
         {"c4", {16000, 0, 32000}, 50, 1, 1.0, 0.3, Seconds{20}, {"a"}}};
     simulation::write_record(service, storage::keys::catalog, storage::encode_catalog(types));
-    load_directory();
+    load_shared_state();
   }
 
   static Json job() {
--- a/tests/unit/shared_state_cache_test.cpp
+++ b/tests/unit/shared_state_cache_test.cpp
@@ -10,9 +10,9 @@
 
 using protocol::Json;
 
-class DirectoryTest : public DirectoryFixture {
+class DirectoryTest : public SharedStateFixture {
  protected:
-  void SetUp() override { load_directory(); }
+  void SetUp() override { load_shared_state(); }
   void write(const std::string& key, const Json& value) {
     simulation::write_record(service, key, value);
     queue.run_until(queue.now() + 0.2);
--- a/tests/unit/shared_state_fixture.hpp
+++ b/tests/unit/shared_state_fixture.hpp
@@ -10,10 +10,10 @@
 
 namespace poppystile::coordination {
 
-class DirectoryFixture : public testing::Test {
+class SharedStateFixture : public testing::Test {
  protected:
   // Lets the directory read what the state service holds.
-  void load_directory() {
+  void load_shared_state() {
     shared_state.start();
     queue.run_until(1);
     ASSERT_TRUE(shared_state.loaded());
