--- a/src/coordination/fleet/fleet_manager.cpp
+++ b/src/coordination/fleet/fleet_manager.cpp
@@ -220,17 +220,17 @@
 
 void FleetManager::reconcile_capacity() {
   release_unrequested_refused();
+  const SteadyTime now = runtime_.now();
   planning::ScalingContext context;
-  context.now = runtime_.now();
   context.wall_now = runtime_.wall_now();
   context.types = &types_;
   context.teams = &settings_.teams;
-  while (!demands_.empty() && demands_.front().first < context.now - properties_.idle_keep)
+  while (!demands_.empty() && demands_.front().first < now - properties_.idle_keep)
     demands_.pop_front();
   for (const auto& [at, cpus] : demands_) context.peak_cpus = std::max(context.peak_cpus, cpus);
   context.service_reserve = properties_.service_reserve;
   for (const auto& [offer, refusal] : refusals_)
-    if (refusal.until > context.now) context.refused.insert(offer);
+    if (refusal.until > now) context.refused.insert(offer);
   for (const auto& [name, rental] : rentals_)
     context.pending.push_back(
         {{rental.record.type, rental.record.zone, rental.record.spot}, rental.record.count});
@@ -248,14 +248,14 @@
     rental.log_position = journal_.append(storage::RentalRequested{name, rental.record});
     rentals_[name] = rental;
   }
-  demands_.emplace_back(context.now, plan.demand_cpus);
+  demands_.emplace_back(now, plan.demand_cpus);
   for (const auto& id : plan.release) {
     cluster_state_->machines.at(id).releasing = true;
     to_release_.insert(id);
   }
   for (const auto& id : plan.uncordon) cluster_state_->machines.at(id).draining = false;
   // Until demand has been seen for a while nobody knows what is too much.
-  if (context.now - term_started_at_ < properties_.idle_keep) return;
+  if (now - term_started_at_ < properties_.idle_keep) return;
   for (const auto& id : plan.drain) {
     spdlog::debug("machine drains id={}", id);
     cluster_state_->machines.at(id).draining = true;
--- /dev/null
+++ b/src/planning/autoscaler/bin_packer.cpp
@@ -0,0 +1,86 @@
+#include "planning/autoscaler/bin_packer.hpp"
+
+#include <algorithm>
+#include <utility>
+
+namespace poppystile::planning {
+
+using protocol::JobKind;
+using protocol::JobSpec;
+
+namespace {
+
+// Puts as many of `count` tasks as fit into the bin; returns how many.
+std::uint32_t fill(Bin& bin, const JobSpec& spec, std::uint32_t count) {
+  const auto fitting =
+      static_cast<std::uint32_t>(std::min<std::int64_t>(spec.each.times_in(bin.room), count));
+  for (std::uint32_t i = 0; i < fitting; ++i) bin.room -= spec.each;
+  return fitting;
+}
+
+bool must_choose_zone(const JobSpec& spec) {
+  return spec.kind == JobKind::gang && spec.one_zone && !spec.zone;
+}
+
+}  // namespace
+
+BinPacker::BinPacker(CapacitySupply supply, const std::vector<protocol::MachineType>& types,
+                     const OfferSelector& selector)
+    : supply_(std::move(supply)), types_(types), selector_(selector) {}
+
+void BinPacker::pack(const TaskDemand& demand) {
+  JobSpec spec = demand.spec;
+  if (must_choose_zone(spec)) spec.zone = choose_gang_zone(demand);
+  std::uint32_t count = demand.permitted;
+  for (auto& bin : supply_.bins) {
+    if (count == 0) return;
+    if (may_run_on(spec, bin.offer)) count -= fill(bin, spec, count);
+  }
+  while (count > 0) {
+    const auto offer = selector_.cheapest(spec, demand.prefer_quick_start, supply_.composition);
+    if (!offer) {
+      if (demand.purpose == DemandPurpose::waiting_tasks) unplaced_.push_back(&demand);
+      return;
+    }
+    supply_.add_rented_machine(*offer, types_);
+    const std::uint32_t placed = fill(supply_.bins.back(), spec, count);
+    if (placed == 0) return;
+    count -= placed;
+    ++missing_machines_[*offer];
+  }
+}
+
+// The zone with the most room for the gang. Where that is too little, zones in which machines can
+// be rented go first, if there are any.
+std::optional<std::string> BinPacker::choose_gang_zone(const TaskDemand& demand) const {
+  std::optional<std::string> best;
+  std::int64_t best_room = 0;
+  bool best_suffices = false;
+  for (const auto& [zone, room] : task_room_by_zone(demand.spec)) {
+    const bool suffices = room >= demand.wanted || can_rent_in(zone, demand.spec);
+    if (best && (best_suffices > suffices || (best_suffices == suffices && best_room >= room)))
+      continue;
+    best = zone;
+    best_room = room;
+    best_suffices = suffices;
+  }
+  return best;
+}
+
+// For each zone, how many tasks the machines in it have room for.
+std::map<std::string, std::int64_t> BinPacker::task_room_by_zone(const JobSpec& spec) const {
+  std::map<std::string, std::int64_t> room;
+  for (const auto& type : types_)
+    for (const auto& zone : type.zones) room.try_emplace(zone, 0);
+  for (const auto& bin : supply_.bins)
+    if (may_run_on(spec, bin.offer)) room[bin.offer.zone] += spec.each.times_in(bin.room);
+  return room;
+}
+
+bool BinPacker::can_rent_in(const std::string& zone, const JobSpec& spec) const {
+  JobSpec there = spec;
+  there.zone = zone;
+  return selector_.cheapest(there, true, supply_.composition).has_value();
+}
+
+}  // namespace poppystile::planning
--- /dev/null
+++ b/src/planning/autoscaler/capacity_demand.cpp
@@ -0,0 +1,144 @@
+#include "planning/autoscaler/capacity_demand.hpp"
+
+#include <algorithm>
+#include <cmath>
+#include <map>
+#include <string>
+#include <utility>
+
+#include "constants.hpp"
+#include "planning/eligibility.hpp"
+
+namespace poppystile::planning {
+
+using cluster::ClusterState;
+using cluster::Job;
+using protocol::JobKind;
+using protocol::JobSpec;
+
+namespace {
+
+constexpr std::int64_t unlimited_cpus = std::int64_t{1} << 60;  // thousandths
+// An array is finished in no more than so many rounds of its tasks.
+constexpr double max_rounds = 4.0;
+// Rounds for an array without a deadline.
+constexpr double default_rounds = 3;
+
+// What each team may still use, as demand takes it up.
+class TeamQuotas {
+ public:
+  TeamQuotas(const ClusterState& cluster_state, const ScalingContext& context) {
+    for (const auto& team : *context.teams) {
+      const auto usage = cluster_state.teams.find(team.name);
+      const auto used = usage == cluster_state.teams.end() ? 0 : usage->second.used.cpus;
+      remaining_[team.name] =
+          team.cpus_max > 0 ? std::llround(team.cpus_max * 1000) - used : unlimited_cpus;
+    }
+  }
+
+  // Takes up to `wanted` tasks from the quota of the job's team; returns how many.
+  std::uint32_t take(const JobSpec& spec, std::uint32_t wanted) {
+    if (spec.each.cpus <= 0) return wanted;
+    auto& remaining = remaining_[spec.team];
+    const auto permitted = std::clamp<std::int64_t>(remaining / spec.each.cpus, 0, wanted);
+    remaining -= spec.each.cpus * permitted;
+    return static_cast<std::uint32_t>(permitted);
+  }
+
+ private:
+  std::map<std::string, std::int64_t> remaining_;  // thousandths of cpus
+};
+
+std::vector<const Job*> jobs_in_packing_order(const ClusterState& cluster_state) {
+  std::vector<const Job*> jobs;
+  for (const auto& [id, job] : cluster_state.jobs)
+    if (!job.record.cancelled) jobs.push_back(&job);
+  std::sort(jobs.begin(), jobs.end(), [](const Job* a, const Job* b) {
+    if (a->spec().kind != b->spec().kind) return a->spec().kind == JobKind::service;
+    if (a->spec().priority != b->spec().priority) return a->spec().priority > b->spec().priority;
+    return a->spec().id < b->spec().id;
+  });
+  return jobs;
+}
+
+class DemandBuilder {
+ public:
+  DemandBuilder(const ClusterState& cluster_state, const ScalingContext& context)
+      : cluster_state_(cluster_state), context_(context), quotas_(cluster_state, context) {
+    for (const auto& [id, machine] : cluster_state.machines) demand_.cpus += machine.used.cpus;
+  }
+
+  CapacityDemand build() {
+    const std::vector<const Job*> jobs = jobs_in_packing_order(cluster_state_);
+    for (const Job* job : jobs)
+      add(job->spec(), tasks_wanted_at_once(*job, context_.wall_now), DemandPurpose::waiting_tasks,
+          true);
+    add_service_reserves(jobs);
+    add_gang_reserves();
+    return std::move(demand_);
+  }
+
+ private:
+  void add(const JobSpec& spec, std::uint32_t wanted, DemandPurpose purpose,
+           bool prefer_quick_start) {
+    const std::uint32_t permitted = quotas_.take(spec, wanted);
+    if (permitted == 0) return;
+    demand_.cpus += spec.each.cpus * permitted;
+    demand_.tasks.push_back({spec, wanted, permitted, purpose, prefer_quick_start});
+  }
+
+  // Room for the services that come next, in the shape of the last job of each class. While
+  // replicas wait it is what the next of them will take, so it must be quick as well as cheap.
+  void add_service_reserves(const std::vector<const Job*>& jobs) {
+    struct ServiceClass {
+      const JobSpec* shape = nullptr;
+      double tasks = 0;
+    };
+    std::map<std::string, ServiceClass> classes;
+    bool replicas_wait = false;
+    for (const Job* job : jobs) {
+      if (job->spec().kind != JobKind::service) continue;
+      replicas_wait = replicas_wait || job->schedulable_tasks() > 0;
+      ServiceClass& service_class = classes[job->spec().job_class];
+      service_class.shape = &job->spec();
+      service_class.tasks += job->spec().tasks;
+    }
+    for (const auto& [name, service_class] : classes) {
+      JobSpec shape = *service_class.shape;
+      shape.zone.reset();
+      const auto tasks =
+          static_cast<std::uint32_t>(std::ceil(service_class.tasks * context_.service_reserve));
+      add(shape, tasks, DemandPurpose::reserve, replicas_wait);
+    }
+  }
+
+  // Room for the next gang of each class that came lately, as large as the largest of them.
+  void add_gang_reserves() {
+    for (const auto& [name, recent] : cluster_state_.recent_gangs)
+      if (context_.wall_now - recent.last_submitted_at < constants::gang_room_kept_for)
+        add(recent.largest, recent.largest.tasks, DemandPurpose::reserve, true);
+  }
+
+  const ClusterState& cluster_state_;
+  const ScalingContext& context_;
+  TeamQuotas quotas_;
+  CapacityDemand demand_;
+};
+
+}  // namespace
+
+std::uint32_t tasks_wanted_at_once(const Job& job, WallTime now) {
+  const JobSpec& spec = job.spec();
+  if (spec.kind != JobKind::array) return job.schedulable_tasks();
+  const Seconds expected = expected_run_time(spec);
+  const Seconds age = now - job.record.accepted_at;
+  const Seconds left = spec.deadline ? *spec.deadline - age : default_rounds * expected;
+  const double rounds = std::clamp(left / expected, 1.0, max_rounds);
+  return static_cast<std::uint32_t>(std::ceil(job.schedulable_tasks() / rounds));
+}
+
+CapacityDemand measure_demand(const ClusterState& cluster_state, const ScalingContext& context) {
+  return DemandBuilder(cluster_state, context).build();
+}
+
+}  // namespace poppystile::planning
--- /dev/null
+++ b/src/planning/autoscaler/offer_selector.cpp
@@ -0,0 +1,53 @@
+#include "planning/autoscaler/offer_selector.hpp"
+
+#include <cmath>
+
+#include "constants.hpp"
+
+namespace poppystile::planning {
+
+using protocol::JobKind;
+using protocol::JobSpec;
+using protocol::MachineType;
+
+namespace {
+
+// A service counts from its submission on, so a type that boots and fetches slowly is worth less to
+// it. Arrays wait for their deadline anyway.
+double start_delay_factor(const JobSpec& spec, const MachineType& type) {
+  if (spec.kind != JobKind::service) return 1;
+  const Seconds delay = type.boot_time + Seconds{spec.image_gb / type.fetch_gb_per_s};
+  return std::exp2(delay / constants::service_delay_worth);
+}
+
+}  // namespace
+
+std::optional<Offer> OfferSelector::cheapest(const JobSpec& spec, bool prefer_quick_start,
+                                             const FleetComposition& composition) const {
+  std::optional<Offer> best;
+  double lowest_score = 0;
+  for (const auto& type : types_) {
+    const auto tasks_per_machine = spec.each.times_in(type.size);
+    if (tasks_per_machine <= 0) continue;
+    const double delay_factor = prefer_quick_start ? start_delay_factor(spec, type) : 1;
+    for (const auto& zone : type.zones)
+      for (const bool spot : {false, true}) {
+        const Offer offer{type.name, zone, spot};
+        if (!may_run_on(spec, offer) || refused_.contains(offer)) continue;
+        const double price =
+            (spot ? type.spot_price : type.price) / static_cast<double>(tasks_per_machine);
+        // No type or zone should hold the whole fleet.
+        const double spread_factor =
+            1 + constants::kind_spread * composition.available_share(offer);
+        const double score =
+            price * spread_factor * (1 + composition.overdue_share(offer)) * delay_factor;
+        if (!best || score < lowest_score) {
+          best = offer;
+          lowest_score = score;
+        }
+      }
+  }
+  return best;
+}
+
+}  // namespace poppystile::planning
--- a/src/planning/eligibility.cpp
+++ b/src/planning/eligibility.cpp
@@ -10,10 +10,13 @@
 using protocol::JobSpec;
 
 bool may_run_on(const JobSpec& job, const Machine& machine) {
-  if (machine.spot && !job.spot) return false;
-  if (job.zone && *job.zone != machine.zone) return false;
-  return !job.types ||
-         std::find(job.types->begin(), job.types->end(), machine.type) != job.types->end();
+  return may_run_on(job, machine.type, machine.zone, machine.spot);
+}
+
+bool may_run_on(const JobSpec& job, const std::string& type, const std::string& zone, bool spot) {
+  if (spot && !job.spot) return false;
+  if (job.zone && *job.zone != zone) return false;
+  return !job.types || std::find(job.types->begin(), job.types->end(), type) != job.types->end();
 }
 
 bool takes_tasks(const Machine& machine, SteadyTime now) {
--- a/src/planning/eligibility.hpp
+++ b/src/planning/eligibility.hpp
@@ -4,6 +4,7 @@
 #pragma once
 
 #include <optional>
+#include <string>
 #include <vector>
 
 #include "cluster/cluster_state.hpp"
@@ -14,6 +15,10 @@
 /// Whether the job's constraints on type, zone and spot machines allow `machine`.
 bool may_run_on(const protocol::JobSpec& job, const cluster::Machine& machine);
 
+/// The same for a machine that is not rented yet.
+bool may_run_on(const protocol::JobSpec& job, const std::string& type, const std::string& zone,
+                bool spot);
+
 /// Whether new tasks may be placed on `machine` at the steady time `now`.
 bool takes_tasks(const cluster::Machine& machine, SteadyTime now);
 
--- a/tests/unit/autoscaler_test.cpp
+++ b/tests/unit/autoscaler_test.cpp
@@ -1,4 +1,4 @@
-// Sizing of the fleet: what is rented, drained and released.
+// What a scaling pass rents, drains and takes back.
 #include "planning/autoscaler/autoscaler.hpp"
 
 #include <gtest/gtest.h>
@@ -10,9 +10,10 @@
 namespace poppystile::planning {
 namespace {
 
-class OneType : public testing::Test {
+// One machine type in one zone.
+class AutoscalerOneTypeTest : public testing::Test {
  protected:
-  OneType() {
+  AutoscalerOneTypeTest() {
     context.types = &types;
     context.teams = &teams;
   }
@@ -24,9 +25,9 @@
 };
 
 // One type that boots quickly, and one that is cheaper for its size and slow.
-class TwoTypes : public testing::Test {
+class AutoscalerTwoTypesTest : public testing::Test {
  protected:
-  TwoTypes() {
+  AutoscalerTwoTypesTest() {
     context.types = &types;
     context.teams = &teams;
   }
@@ -39,10 +40,10 @@
   }
   // How many machines of each type the plan rents.
   std::map<std::string, int> rented() const {
-    std::map<std::string, int> out;
-    for (const auto& each : plan_scaling(cluster_state, context).rent)
-      out[each.offer.type] += each.count;
-    return out;
+    std::map<std::string, int> counts;
+    for (const auto& order : plan_scaling(cluster_state, context).rent)
+      counts[order.offer.type] += order.count;
+    return counts;
   }
   ClusterState cluster_state;
   const std::vector<protocol::MachineType> types = {
@@ -54,15 +55,15 @@
 
 // Replicas that wait are worth the quicker type, however many of it there are already: a mixed
 // fleet once kept half of a burst waiting for slow boots.
-TEST_F(TwoTypes, WaitingReplicasGetTheQuickType) {
+TEST_F(AutoscalerTwoTypesTest, RentsTheQuickTypeForWaitingReplicas) {
   context.service_reserve = 0;
   for (int i = 0; i < 40; ++i) add(cluster_state, replica("req-" + std::to_string(i)));
   EXPECT_EQ(rented(), (std::map<std::string, int>{{"quick", 10}}));
 }
 
-// While replicas wait, the reserve is what the next of them take: in slow types it once swallowed a
-// burst, one second's reserve after the other. Without a burst the cheaper type serves.
-TEST_F(TwoTypes, TheReserveIsQuickOnlyWhileReplicasWait) {
+// While replicas wait, the reserve is what the next of them take: in slow types it once used up a
+// burst's room, one second's reserve after the other. Without a burst the cheaper type serves.
+TEST_F(AutoscalerTwoTypesTest, ReservesTheQuickTypeOnlyWhileReplicasWait) {
   context.service_reserve = 0.5;
   for (int i = 0; i < 8; ++i) add(cluster_state, replica("req-" + std::to_string(i)));
   EXPECT_EQ(rented(), (std::map<std::string, int>{{"quick", 3}}));
@@ -71,9 +72,8 @@
   EXPECT_EQ(rented(), (std::map<std::string, int>{{"slow", 1}}));
 }
 
-// Machines that never come up were counted as room until they were given back after four boot
-// times.
-TEST_F(TwoTypes, WhatIsOverdueIsRentedAgainInAnotherType) {
+// Machines that never come up once counted as room until they were released after four boot times.
+TEST_F(AutoscalerTwoTypesTest, ReplacesOverdueBootsByAnotherType) {
   context.service_reserve = 0;
   for (int i = 0; i < 4; ++i) add(cluster_state, replica("req-" + std::to_string(i)));
   Machine& booting = add(cluster_state, "a1", 16);
@@ -87,9 +87,9 @@
   EXPECT_EQ(rented(), (std::map<std::string, int>{{"slow", 1}}));
 }
 
-// A machine whose replicas fit nowhere else never runs empty; what waited for its room, where
-// nothing could be rented, waited for ever.
-TEST_F(OneType, ADrainingMachineTakesWhatCannotBeRented) {
+// A machine whose replicas fit nowhere else never runs empty; a job that waited for its room, where
+// nothing could be rented, once waited for ever.
+TEST_F(AutoscalerOneTypeTest, UncordonsADrainingMachineForWorkThatCannotRentRoom) {
   add(cluster_state, spec("req-1", JobKind::array, 4, Priority::normal));
   Machine& draining = add(cluster_state, "a1", 16);
   draining.draining = true;
@@ -99,7 +99,7 @@
   EXPECT_TRUE(plan_scaling(cluster_state, context).uncordon.empty());
 }
 
-TEST_F(OneType, RentsTheCheapestAllowedAndSkipsWhatWasRefused) {
+TEST_F(AutoscalerOneTypeTest, RentsTheCheapestAllowedAndSkipsRefusedOffers) {
   JobSpec job = spec("req-1", JobKind::array, 8, Priority::normal);
   add(cluster_state, job);
   const ScalingPlan first = plan_scaling(cluster_state, context);
