--- a/src/constants.hpp
+++ b/src/constants.hpp
@@ -219,16 +219,16 @@
 // beside room, have their turn in the rest.
 inline constexpr Seconds gang_hold_time{40.0};
 inline constexpr Seconds gang_hold_period{55.0};
-// share of the time that workers wait for their gang within which a lost task is replaced; later a
-// new attempt is sooner complete.
-inline constexpr double gang_replace_share = 0.4;
+// share of the gang assembly timeout within which a lost task is replaced; later than that, a new
+// attempt is complete sooner.
+inline constexpr double gang_replacement_share = 0.4;
 // seconds after the newest gang of a class for which room is kept ready for the next one.
 inline constexpr Seconds gang_room_kept_for{120.0};
 // seconds; a run time is never believed to be shorter, so that loads stay finite.
 inline constexpr Seconds min_estimated_run_time{1.0};
-// times its own duration that a plan leaves free after it: so plans take a tenth of the processor's
-// share at most.
-inline constexpr double plan_rest = 9;
+// pause after a plan, in multiples of the time that it took: plans use at most a tenth of the
+// processor's share.
+inline constexpr double planning_pause_factor = 9;
 // batches one plan puts together at most, each from what the one before it left.
 inline constexpr int max_batches = 3;
 // seconds after submission by which an array should be over that has no deadline and no aim.
--- a/src/coordination/leader/gang_tracker.cpp
+++ b/src/coordination/leader/gang_tracker.cpp
@@ -4,8 +4,6 @@
 
 #include <set>
 
-#include "constants.hpp"
-
 namespace poppystile::coordination {
 
 using cluster::GangAttempt;
@@ -77,8 +75,7 @@
 
 void GangTracker::check_assembly(Job& gang, SteadyTime now) const {
   if (gang.gang.phase != Phase::assembling || gang.waiting() == 0 || !settings_.gang_times) return;
-  const Seconds allowed = constants::gang_replace_share * settings_.gang_times->assembly_timeout;
-  if (now - gang.gang.placed_at > allowed) abandon(gang);
+  if (now - gang.gang.placed_at > settings_.gang_times->task_replacement_window()) abandon(gang);
 }
 
 Seconds GangTracker::stop_grace(const Job& gang) const {
--- a/src/coordination/leader/leader.cpp
+++ b/src/coordination/leader/leader.cpp
@@ -230,7 +230,7 @@
                          plan_count_,           runtime_.now() + constants::max_response_hold};
   // The former report's answer is not waited for any more.
   pending_responses_.erase(machine->id);
-  const bool room_in_demand = plan_is_due_ && planning::takes_tasks(*machine, runtime_.now()) &&
+  const bool room_in_demand = plan_is_due_ && planning::is_schedulable(*machine, runtime_.now()) &&
                               machine->room().cpus >= least_waiting_cpus_;
   if (machine->has_acknowledged_token && (room_in_demand || has_start_in_flight(*machine))) {
     pending_responses_[machine->id] = std::move(answer);
@@ -390,11 +390,12 @@
   context.heartbeat_interval = settings_.heartbeat_interval;
   context.wall_now = runtime_.wall_now();
   context.finish_aims = &settings_.finish_aims;
-  if (settings_.gang_times) context.gang_assembly_timeout = settings_.gang_times->assembly_timeout;
+  if (settings_.gang_times)
+    context.gang_task_replacement_window = settings_.gang_times->task_replacement_window();
   planning::Plan made = planning::make_plan(cluster_state_, context);
   log_waiting_gangs(std::move(made.waiting_gangs));
   apply_placements(made.placements, *attempt, began);
-  for (const auto& each : made.stops) {
+  for (const auto& each : made.preemptions) {
     Placement* placement =
         cluster_state_.machines.at(each.machine).find(each.job, each.index, each.attempt);
     heartbeats_.stop_task(*placement);
@@ -406,15 +407,15 @@
       least_waiting_cpus_ = std::min(least_waiting_cpus_, job.spec().each.cpus);
   // A plan's pace follows its own cost, so that reports keep most of the processor.
   const SteadyTime ended = runtime_.now();
-  next_plan_at_ =
-      ended + std::max(constants::min_plan_interval, (ended - began) * constants::plan_rest);
+  next_plan_at_ = ended + std::max(constants::min_plan_interval,
+                                   (ended - began) * constants::planning_pause_factor);
 }
 
-void Leader::log_waiting_gangs(std::map<std::string, planning::GangWait> waits) {
+void Leader::log_waiting_gangs(std::map<std::string, planning::GangWaitReason> waits) {
   for (const auto& [id, why] : waits) {
     const auto before = waiting_gangs_.find(id);
     if (before == waiting_gangs_.end() || before->second != why)
-      spdlog::info("gang waits id={} why=\"{}\"", id, planning::wait_text(why));
+      spdlog::info("gang waits id={} why=\"{}\"", id, planning::to_string(why));
   }
   waiting_gangs_ = std::move(waits);
 }
--- a/src/coordination/leader/leader.hpp
+++ b/src/coordination/leader/leader.hpp
@@ -76,7 +76,7 @@
   void check_fleet_size();
   void plan();
   // Logs each gang's reason once.
-  void log_waiting_gangs(std::map<std::string, planning::GangWait> waits);
+  void log_waiting_gangs(std::map<std::string, planning::GangWaitReason> waits);
   void apply_placements(const std::vector<planning::PlannedPlacement>& placements,
                         std::uint64_t plan_attempt, SteadyTime now);
 
@@ -88,7 +88,7 @@
   FleetManager& fleet_;
   const protocol::Settings& settings_;
   const protocol::Properties& properties_;
-  std::map<std::string, planning::GangWait> waiting_gangs_;  // of the newest plan
+  std::map<std::string, planning::GangWaitReason> waiting_gangs_;  // of the newest plan
   cluster::ClusterState cluster_state_;
   JobFinalizer finalizer_;
   HeartbeatHandler heartbeats_;
--- a/src/planning/eligibility.cpp
+++ b/src/planning/eligibility.cpp
@@ -19,7 +19,7 @@
   return !job.types || std::find(job.types->begin(), job.types->end(), type) != job.types->end();
 }
 
-bool takes_tasks(const Machine& machine, SteadyTime now) {
+bool is_schedulable(const Machine& machine, SteadyTime now) {
   return machine.has_reported && machine.has_acknowledged_token && !machine.is_unresponsive &&
          !machine.is_overdue && !machine.releasing && !machine.draining &&
          !machine.preemption_noticed && !machine.quarantined && machine.avoid_until <= now;
--- a/src/planning/eligibility.hpp
+++ b/src/planning/eligibility.hpp
@@ -20,7 +20,7 @@
                 bool spot);
 
 /// Whether new tasks may be placed on `machine` at the steady time `now`.
-bool takes_tasks(const cluster::Machine& machine, SteadyTime now);
+bool is_schedulable(const cluster::Machine& machine, SteadyTime now);
 
 /// Seconds that a task of the job is believed to run; never zero.
 Seconds expected_run_time(const protocol::JobSpec& job);
--- a/src/planning/gang_placement.cpp
+++ b/src/planning/gang_placement.cpp
@@ -37,8 +37,9 @@
   if (within_limit)
     for (const std::string& zone : zones_for(job.spec()))
       if (preemption_.make_room_for_gang(job, zone))
-        return draft_.note_waiting_gang(job.spec().id, GangWait::making_room);
-  draft_.note_waiting_gang(job.spec().id, within_limit ? GangWait::room : GangWait::team_limit);
+        return draft_.note_waiting_gang(job.spec().id, GangWaitReason::making_room);
+  draft_.note_waiting_gang(job.spec().id,
+                           within_limit ? GangWaitReason::no_room : GangWaitReason::team_limit);
   hold_room(job);
 }
 
--- a/src/planning/plan_draft.cpp
+++ b/src/planning/plan_draft.cpp
@@ -31,7 +31,7 @@
 
 void PlanDraft::add_slots() {
   for (const auto& [id, machine] : cluster_state_.machines) {
-    if (takes_tasks(machine, context_.now)) {
+    if (is_schedulable(machine, context_.now)) {
       slots_.push_back(slot_of(machine));
     } else if (machine.incarnation == 0 && !machine.releasing && !machine.draining) {
       add_booting(machine);
@@ -144,7 +144,7 @@
       if (placement.index != index || placement.job != gang.spec().id) continue;
       const auto slot = slot_of_machine.find(machine->id);
       if (slot != slot_of_machine.end()) slot->second->stopping += placement.each;
-      plan_.stops.push_back({machine->id, placement.job, placement.index, placement.attempt});
+      plan_.preemptions.push_back({machine->id, placement.job, placement.index, placement.attempt});
     }
 }
 
@@ -175,7 +175,8 @@
 
 void PlanDraft::stop(MachineSlot& slot, const Placement& placement) {
   slot.stopping += placement.each;
-  plan_.stops.push_back({slot.machine->id, placement.job, placement.index, placement.attempt});
+  plan_.preemptions.push_back(
+      {slot.machine->id, placement.job, placement.index, placement.attempt});
 }
 
 double PlanDraft::class_share(const std::string& job_class, const std::string& zone) const {
--- a/src/planning/plan_draft.hpp
+++ b/src/planning/plan_draft.hpp
@@ -72,7 +72,9 @@
   /// The use of each team, with what this plan has placed.
   std::map<std::string, protocol::Resources>& team_use() { return used_; }
 
-  void note_waiting_gang(const std::string& job, GangWait why) { plan_.waiting_gangs[job] = why; }
+  void note_waiting_gang(const std::string& job, GangWaitReason why) {
+    plan_.waiting_gangs[job] = why;
+  }
 
   Plan take() { return std::move(plan_); }
 
--- a/src/planning/planner.cpp
+++ b/src/planning/planner.cpp
@@ -36,8 +36,7 @@
 bool may_be_placed(const cluster::ClusterState& cluster_state, const Job& gang,
                    const PlanningContext& context) {
   return gang.placements.empty() ||
-         cluster_state.may_replace_tasks(
-             gang, context.now, constants::gang_replace_share * context.gang_assembly_timeout);
+         cluster_state.may_replace_tasks(gang, context.now, context.gang_task_replacement_window);
 }
 
 WaitingJobs waiting_jobs(const cluster::ClusterState& cluster_state, const JobOrder& order,
@@ -62,13 +61,13 @@
 
 }  // namespace
 
-const char* wait_text(GangWait wait) {
-  switch (wait) {
-    case GangWait::team_limit:
+const char* to_string(GangWaitReason reason) {
+  switch (reason) {
+    case GangWaitReason::team_limit:
       return "team limit";
-    case GangWait::room:
+    case GangWaitReason::no_room:
       return "no room for all tasks";
-    case GangWait::making_room:
+    case GangWaitReason::making_room:
       return "room is being made";
   }
   return "";
--- a/src/planning/planner.hpp
+++ b/src/planning/planner.hpp
@@ -30,18 +30,19 @@
 };
 
 /// Why a gang was not placed.
-enum class GangWait : std::uint8_t {
+enum class GangWaitReason : std::uint8_t {
   team_limit,   // all tasks together exceed what is left of it
-  room,         // too little room in every allowed zone, or wherever it may run
+  no_room,      // too little room in every allowed zone, or wherever it may run
   making_room,  // others were stopped for it, or room is about to be free
 };
-const char* wait_text(GangWait wait);
+/// The reason in words, for the log.
+const char* to_string(GangWaitReason reason);
 
 /// What one planning pass decided, in the order in which it was decided.
 struct Plan {
   std::vector<PlannedPlacement> placements;
-  std::vector<PlannedPreemption> stops;
-  std::map<std::string, GangWait> waiting_gangs;  // by job
+  std::vector<PlannedPreemption> preemptions;
+  std::map<std::string, GangWaitReason> waiting_gangs;  // by job
 };
 
 /// What a plan depends on besides the model. The pointers must not be null.
@@ -52,7 +53,7 @@
   Seconds heartbeat_interval{1};
   WallTime wall_now;
   const std::vector<protocol::FinishAim>* finish_aims = nullptr;
-  Seconds gang_assembly_timeout{0};  // for which workers wait until their gang is complete
+  Seconds gang_task_replacement_window{0};  // GangTimes::task_replacement_window
 };
 
 /// Plans all waiting jobs onto the machines that take tasks: services first, then arrays that have
--- a/src/protocol/settings.cpp
+++ b/src/protocol/settings.cpp
@@ -133,6 +133,10 @@
 
 }  // namespace
 
+Seconds GangTimes::task_replacement_window() const {
+  return constants::gang_replacement_share * assembly_timeout;
+}
+
 Settings parse_settings(const std::string& text) {
   const Json root = parse_object(text);
   Settings out;
--- a/src/protocol/settings.hpp
+++ b/src/protocol/settings.hpp
@@ -32,6 +32,9 @@
 struct GangTimes {
   Seconds assembly_timeout{0};     // for the gang to be complete
   Seconds peer_loss_detection{0};  // until the loss of another task is noticed
+
+  /// How long after the placement of an attempt that is still assembling a lost task is replaced.
+  Seconds task_replacement_window() const;
 };
 
 struct Settings {
--- a/tests/unit/gang_test.cpp
+++ b/tests/unit/gang_test.cpp
@@ -36,7 +36,8 @@
   GangTest() {
     context.teams = &teams;
     context.finish_aims = &aims;
-    context.gang_assembly_timeout = Seconds{40};
+    context.gang_task_replacement_window =
+        protocol::GangTimes{Seconds{40}, Seconds{6}}.task_replacement_window();
   }
   Job& add_gang(const std::string& id, std::uint32_t tasks) {
     auto job = spec(id, JobKind::gang, tasks, Priority::normal);
@@ -212,8 +213,8 @@
   GangTracker::on_restored(gang, steady_at(9));
   add(cluster_state, spec("req-3", JobKind::service, 1, Priority::production));
   const auto made = plan();
-  ASSERT_EQ(made.stops.size(), 1u);
-  EXPECT_EQ(made.stops[0].job, "req-2");
+  ASSERT_EQ(made.preemptions.size(), 1u);
+  EXPECT_EQ(made.preemptions[0].job, "req-2");
 }
 
 TEST_F(GangTest, AGangMakesRoomForAllItsTasksOrStopsNobody) {
@@ -222,10 +223,10 @@
   for (std::uint32_t i = 0; i < 4; ++i)
     cluster_state.restore(machine, cluster_state.jobs.at("req-2"), i, 1, steady_at(0));
   Job& gang = add_gang("req-1", 5);
-  EXPECT_TRUE(plan().stops.empty());
+  EXPECT_TRUE(plan().preemptions.empty());
   gang.record.spec.tasks = 3;
   gang.phases.resize(3);
-  EXPECT_EQ(plan().stops.size(), 3u);
+  EXPECT_EQ(plan().preemptions.size(), 3u);
 }
 
 }  // namespace
--- a/tests/unit/planner_test.cpp
+++ b/tests/unit/planner_test.cpp
@@ -78,11 +78,11 @@
   apply(plan());
   add(cluster_state, spec("req-2", JobKind::service, 1, Priority::production));
   const Plan made = plan();
-  ASSERT_EQ(made.stops.size(), 1u);
+  ASSERT_EQ(made.preemptions.size(), 1u);
   cluster_state.machines.at("a1")
-      .find(made.stops[0].job, made.stops[0].index, made.stops[0].attempt)
+      .find(made.preemptions[0].job, made.preemptions[0].index, made.preemptions[0].attempt)
       ->stopping = true;
-  EXPECT_TRUE(plan().stops.empty());  // the room is on its way
+  EXPECT_TRUE(plan().preemptions.empty());  // the room is on its way
 }
 
 // A task given back before the cursor has reached it must not be handed out twice.
@@ -165,7 +165,7 @@
   add(cluster_state, "a1", 8);
   apply(plan());
   add(cluster_state, spec("req-2", JobKind::service, 1, Priority::high));
-  EXPECT_TRUE(plan().stops.empty());
+  EXPECT_TRUE(plan().preemptions.empty());
 }
 
 // Work that another team runs beyond its guarantee gives way, whatever its priority.
@@ -177,10 +177,10 @@
   JobSpec promised = spec("req-2", JobKind::array, 2, Priority::normal);
   promised.team = "lab";
   add(cluster_state, promised);
-  EXPECT_EQ(plan().stops.size(), 2u);
+  EXPECT_EQ(plan().preemptions.size(), 2u);
   cluster_state.jobs.at("req-2").record.spec.tasks = 3;  // beyond the guarantee: no claim
   cluster_state.jobs.at("req-2").phases.assign(3, TaskPhase::waiting);
-  EXPECT_TRUE(plan().stops.empty());
+  EXPECT_TRUE(plan().preemptions.empty());
 }
 
 TEST_F(PlannerTest, SpreadAndOneZoneAreKept) {
