--- a/src/coordination/controller.hpp
+++ b/src/coordination/controller.hpp
@@ -1,8 +1,8 @@
-// One controller: wires the parts together and routes requests.
+/// \file
+/// One controller: wires the parts together and routes requests.
 #pragma once
 
-#include <deque>
-#include <map>
+#include <cstdint>
 #include <string>
 
 #include "coordination/api/job_api.hpp"
@@ -10,6 +10,9 @@
 #include "coordination/fleet/fleet_manager.hpp"
 #include "coordination/journal/journal_writer.hpp"
 #include "coordination/leader/leader.hpp"
+#include "coordination/peers/cancellation_tracker.hpp"
+#include "coordination/peers/peer_monitor.hpp"
+#include "coordination/peers/worker_reachability.hpp"
 #include "coordination/state/key_value_client.hpp"
 #include "coordination/state/shared_state_cache.hpp"
 #include "protocol/peer_messages.hpp"
@@ -21,46 +24,43 @@
 
 namespace poppystile::coordination {
 
+/// One controller of the deployment. All of them answer users; at most one leads and answers
+/// workers, which the others redirect to it.
 class Controller {
  public:
+  /// All references must outlive the controller. `seed` tells this incarnation of the process from
+  /// earlier ones, and starts the random numbers of the election.
   Controller(transport::Runtime& runtime, transport::HttpCaller& http,
              transport::PeerTransport& peers, const protocol::Settings& settings,
              const protocol::Properties& properties, std::uint64_t seed);
+  /// Begins to read the shared state, to campaign and to broadcast. Call it once.
   void start();
+  /// Routes a request of a user or a worker. `respond` is called once, at once or later.
   void handle(const transport::HttpRequest& request, transport::Respond respond);
-  // Whether the request is a worker's report: leases hang on those.
+  /// Whether the request is a worker's heartbeat: worker leases depend on those.
   static bool is_vital(const transport::HttpRequest& request);
+  /// Whether this controller leads, as far as it knows.
   bool is_leader() const { return election_.is_leader(); }
-  // Of its newest election.
+  /// The fencing token of its newest election; 0 if it was never elected.
   std::uint64_t token() const { return election_.token(); }
 
  private:
   void broadcast_status();
+  void refresh_state_contact();
+  void check_worker_reachability();
+  protocol::PeerStatus make_status(std::uint64_t redirected_heartbeats) const;
   void on_peer_status(const std::string& frame);
+  void step_down_if_superseded(const protocol::PeerStatus& status);
   void handle_heartbeat(const std::string& body, const transport::Respond& respond);
-  void check_worker_reachability();
-  bool takes_requests() const;
-  // Steady time up to which this node surely knows every cancellation that any user was told of.
-  SteadyTime cancellations_known_until() const;
-  // Steady time until which a leader may answer workers.
+  void redirect_heartbeat(const transport::Respond& respond);
   SteadyTime may_respond_until() const;
-  // Steady time by our clock of a time of day by a sibling's, surely not too late.
-  SteadyTime to_steady(WallTime time) const;
-  TaskCounts counts(const std::string& job) const;
-
-  struct Peer {
-    protocol::PeerStatus last;      // its newest frame
-    std::uint64_t incarnation = 0;  // whose word counts
-    // Steady; whatever cancellation it told a user before, in any life, its frames have told us.
-    SteadyTime confirmed_until;
-  };
-  void confirm_cancellations_known(Peer& peer, const protocol::PeerStatus& status);
+  bool takes_requests() const;
+  TaskCounts task_counts(const std::string& job) const;
 
   transport::Runtime& runtime_;
   transport::PeerTransport& peer_transport_;
   const protocol::Settings& settings_;
-  // Tell this life of the process from earlier ones, of which nothing is remembered here.
-  std::uint64_t incarnation_;
+  std::uint64_t incarnation_;  // of this process; nothing is remembered of earlier ones
   WallTime started_at_;
   KeyValueClient key_value_client_;
   SharedStateCache shared_state_;
@@ -69,18 +69,9 @@
   FleetManager fleet_;
   Leader leader_;
   JobApi job_api_;
-  std::map<std::string, Peer> peer_states_;
-  // Steady; what was committed before is known to us by a sibling's directory.
-  SteadyTime peers_fresh_as_of_;
-  std::map<std::string, TaskCounts> advertised_counts_;  // by the leader
-  // Reports since the last beat: that came to us as leader, that we redirected, that siblings did.
-  struct WorkerReachability {
-    SteadyTime at;
-    std::uint64_t direct_reports = 0, redirected_heartbeats = 0, redirected_elsewhere = 0;
-  };
-  WorkerReachability reachability_now_;
-  std::deque<WorkerReachability> reachability_;  // of the last beats
-  int silent_heartbeats_ = 0;                    // in a row, as leader, without a report
+  PeerMonitor peer_monitor_;
+  CancellationTracker cancellations_;
+  WorkerReachability worker_reachability_;
 };
 
 }  // namespace poppystile::coordination
--- /dev/null
+++ b/src/coordination/peers/cancellation_tracker.cpp
@@ -0,0 +1,86 @@
+#include "coordination/peers/cancellation_tracker.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+
+#include "constants.hpp"
+
+namespace poppystile::coordination {
+
+void CancellationTracker::advertise(protocol::PeerStatus& status) const {
+  status.fresh_as_of_wall = shared_state_.fresh_as_of_wall();
+  for (const auto& id : shared_state_.cancelled()) {
+    if (status.cancelled.size() == constants::max_advertised_cancellations) {
+      // Worker leases then depend on what the state service proves alone.
+      spdlog::error("more cancelled jobs than a status frame names limit={}",
+                    constants::max_advertised_cancellations);
+      status.all_cancelled = false;
+      return;
+    }
+    status.cancelled.push_back(id);
+  }
+}
+
+void CancellationTracker::apply(const protocol::PeerStatus& status) {
+  for (const auto& id : status.cancelled) shared_state_.apply_cancellation(id);
+}
+
+void CancellationTracker::confirm(const protocol::PeerStatus& status) {
+  if (!status.all_cancelled) return;
+  if (status.fresh_as_of_wall != WallTime{})
+    peers_fresh_as_of_ = std::max(peers_fresh_as_of_, to_steady(status.fresh_as_of_wall));
+  PeerConfirmation& confirmation = confirmations_[status.name];
+  if (status.incarnation != confirmation.incarnation && !speaks_for_earlier_incarnations(status))
+    return;
+  confirmation.incarnation = status.incarnation;
+  confirmation.confirmed_until = std::max(confirmation.confirmed_until, to_steady(status.sent_at));
+}
+
+// A restarted process does not remember what its earlier incarnation told users. Its confirmation
+// covers that once it has loaded the shared state, which includes whatever was committed by then,
+// or once our own or another peer's shared state is known to be newer than the restart.
+bool CancellationTracker::speaks_for_earlier_incarnations(
+    const protocol::PeerStatus& status) const {
+  return status.fresh_as_of_wall != WallTime{} ||
+         std::max(shared_state_.fresh_as_of(), peers_fresh_as_of_) >
+             to_steady(status.started_at) + 4 * settings_.max_clock_offset;
+}
+
+SteadyTime CancellationTracker::known_until() const {
+  return std::max({shared_state_.fresh_as_of(), peers_fresh_as_of_, confirmed_by_all_peers()});
+}
+
+SteadyTime CancellationTracker::confirmed_by_all_peers() const {
+  SteadyTime confirmed_by_all = runtime_.now();
+  for (const auto& peer : settings_.peers) {
+    const auto found = confirmations_.find(peer.name);
+    const SteadyTime confirmed_until =
+        found == confirmations_.end() ? SteadyTime{} : found->second.confirmed_until;
+    confirmed_by_all = std::min(confirmed_by_all, confirmed_until);
+  }
+  return confirmed_by_all;
+}
+
+SteadyTime CancellationTracker::may_respond_until() const {
+  return known_until() + response_budget();
+}
+
+SteadyTime CancellationTracker::may_respond_until_before_replay(SteadyTime elected_at) const {
+  return elected_at + response_budget() * constants::unready_response_share;
+}
+
+// How long after an unknown cancellation a response may still be sent, so that the lease which it
+// keeps alive expires within `cancel_timeout`.
+Seconds CancellationTracker::response_budget() const {
+  return settings_.cancel_timeout - settings_.worker_lease * (1 + constants::clock_drift) -
+         3 * constants::lease_margin;
+}
+
+// Our steady time at a time of day by a peer's clock; surely not later than the true one.
+SteadyTime CancellationTracker::to_steady(WallTime time) const {
+  const Seconds age = runtime_.wall_now() - time;
+  return runtime_.now() - std::max(Seconds{0}, age) - 2 * settings_.max_clock_offset;
+}
+
+}  // namespace poppystile::coordination
--- /dev/null
+++ b/src/coordination/peers/worker_reachability.cpp
@@ -0,0 +1,91 @@
+#include "coordination/peers/worker_reachability.hpp"
+
+#include <utility>
+
+#include "constants.hpp"
+
+namespace poppystile::coordination {
+
+std::string_view describe(ResignReason reason) {
+  switch (reason) {
+    case ResignReason::all_workers_silent:
+      return "all workers fell silent at once";
+    case ResignReason::workers_reach_peers:
+      return "workers reach peers but not this controller";
+    case ResignReason::no_worker_reports:
+      return "no worker reaches this controller";
+  }
+  return "";
+}
+
+std::optional<ResignReason> WorkerReachability::end_interval(
+    const std::optional<LeaderObservation>& leader) {
+  const SteadyTime now = runtime_.now();
+  current_.ended_at = now;
+  ended_.push_back(std::exchange(current_, {}));
+  if (!leader || was_paused()) {
+    ended_.clear();
+    silent_intervals_ = 0;
+    return std::nullopt;
+  }
+  silent_intervals_ = ended_.back().direct > 0 ? 0 : silent_intervals_ + 1;
+  if (all_workers_silent(*leader)) {
+    ended_.clear();
+    silent_intervals_ = 0;
+    return ResignReason::all_workers_silent;
+  }
+  const bool window_is_full = drop_intervals_before_window(now);
+  if (!window_is_full || ended_.empty() || settings_.peers.empty() || !leader->is_ready)
+    return std::nullopt;
+  const auto reason = evaluate_window(*leader);
+  if (reason) ended_.clear();
+  return reason;
+}
+
+// Whether the process itself stood still during the interval that just ended, for example because
+// it was suspended; what was counted before then says nothing about the present.
+bool WorkerReachability::was_paused() const {
+  if (ended_.size() < 2) return false;
+  const Seconds interval = ended_.back().ended_at - ended_[ended_.size() - 2].ended_at;
+  return interval > 2 * constants::peer_heartbeat_interval;
+}
+
+// Workers that cannot reach the leader wait for `worker_response_timeout`, are redirected back to
+// it by a peer, and wait again: by then a short lease has expired. When every worker falls silent
+// at once, the leader therefore does not wait for the peers' counts. In an outage of the state
+// service nobody could take over, and the leader lease does not hold.
+bool WorkerReachability::all_workers_silent(const LeaderObservation& leader) const {
+  const Seconds silence = silent_intervals_ * constants::peer_heartbeat_interval;
+  return silence >
+             constants::heartbeat_jitter * settings_.heartbeat_interval + constants::lease_margin &&
+         leader.responsive_machines >= constants::reachability_min_machines && leader.lease_holds;
+}
+
+// Returns whether any interval was dropped: only then do the rest fill the window.
+bool WorkerReachability::drop_intervals_before_window(SteadyTime now) {
+  bool dropped = false;
+  while (!ended_.empty() && now - ended_.front().ended_at > constants::reachability_window) {
+    ended_.pop_front();
+    dropped = true;
+  }
+  return dropped;
+}
+
+std::optional<ResignReason> WorkerReachability::evaluate_window(
+    const LeaderObservation& leader) const {
+  std::uint64_t direct = 0;
+  std::uint64_t redirected_by_peers = 0;
+  for (const auto& interval : ended_) {
+    direct += interval.direct;
+    redirected_by_peers += interval.redirected_by_peers;
+  }
+  if (redirected_by_peers >= constants::reachability_min_machines &&
+      redirected_by_peers > direct * constants::resign_ratio)
+    return ResignReason::workers_reach_peers;
+  if (!leader.hears_any_peer && direct == 0 &&
+      leader.responsive_machines >= constants::reachability_min_machines)
+    return ResignReason::no_worker_reports;
+  return std::nullopt;
+}
+
+}  // namespace poppystile::coordination
--- a/tests/unit/shared_state_fixture.hpp
+++ b/tests/unit/shared_state_fixture.hpp
@@ -1,4 +1,5 @@
-// A directory over a simulated state service, for tests of what stands on it.
+/// \file
+/// A shared state cache over a simulated state service, for tests of what depends on it.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -10,9 +11,10 @@
 
 namespace poppystile::coordination {
 
+/// Connects a SharedStateCache to a simulated state service in simulated time.
 class SharedStateFixture : public testing::Test {
  protected:
-  // Lets the directory read what the state service holds.
+  /// Runs until the cache has loaded what the state service holds.
   void load_shared_state() {
     shared_state.start();
     queue.run_until(1);
