--- a/src/coordination/election/leader_election.cpp
+++ b/src/coordination/election/leader_election.cpp
@@ -49,8 +49,8 @@
   campaigning_ = true;
   const SteadyTime sent = runtime_.now();
   key_value_client_.create_lease(
-      constants::leader_lease_ttl, [this, sent](CallStatus outcome, std::uint64_t lease) {
-        if (outcome == CallStatus::ok) return campaign(lease, sent);
+      constants::leader_lease_ttl, [this, sent](CallStatus status, std::uint64_t lease) {
+        if (status == CallStatus::ok) return campaign(lease, sent);
         runtime_.after(constants::state_retry_pause, [this] { campaigning_ = false; });
       });
 }
@@ -87,7 +87,7 @@
         }
         // With no answer the attempt may still succeed: then the watch shows our name,
         // and the next attempt replaces it under a higher token.
-        if (result.status != CallStatus::unknown) key_value_client_.revoke_lease(lease);
+        if (result.status != CallStatus::no_response) key_value_client_.revoke_lease(lease);
         runtime_.after(constants::state_retry_pause, [this] { campaigning_ = false; });
       });
 }
@@ -97,12 +97,12 @@
   renewal_sent_at_ = runtime_.now();
   const SteadyTime sent = renewal_sent_at_;
   const std::uint64_t lease = lease_;
-  key_value_client_.renew_lease(lease, [this, sent, lease](CallStatus outcome) {
+  key_value_client_.renew_lease(lease, [this, sent, lease](CallStatus status) {
     renewing_ = false;
     if (!is_leader_ || lease != lease_) return;
-    if (outcome == CallStatus::ok) {
+    if (status == CallStatus::ok) {
       lease_confirmed_at_ = std::max(lease_confirmed_at_, sent);
-    } else if (outcome == CallStatus::lease_gone) {
+    } else if (status == CallStatus::lease_expired) {
       step_down("grant ended");
     } else {
       renewal_sent_at_ =
--- a/src/coordination/state/shared_state_cache.hpp
+++ b/src/coordination/state/shared_state_cache.hpp
@@ -1,13 +1,15 @@
-// What every controller knows of jobs, leader and machine types: the `shared/` records, read once
-// and followed by a watch.
+/// \file
+/// A local copy of the records that all controllers share: jobs, leader, machine types.
 #pragma once
 
+#include <cstdint>
 #include <functional>
 #include <map>
 #include <optional>
 #include <set>
 #include <string>
 #include <unordered_map>
+#include <utility>
 #include <vector>
 
 #include "coordination/state/key_value_client.hpp"
@@ -15,57 +17,76 @@
 
 namespace poppystile::coordination {
 
+/// A job's record, and the version of its key.
 struct CachedJob {
   storage::JobRecord record;
   std::uint64_t version = 0;
 };
 
+/// The leader's record, and the version of its key.
 struct CachedLeader {
   storage::LeaderRecord record;
   std::uint64_t version = 0;
 };
 
+/// Lists the `shared/` keys once and follows them by a watch, on every controller.
+///
+/// Records arrive in any order: from the listing, the watch, and responses to single reads and
+/// writes. An older version never replaces a newer one. Cancellations and final states are
+/// permanent, whatever arrives later.
 class SharedStateCache {
  public:
+  /// Both references must outlive the cache.
   SharedStateCache(transport::Runtime& runtime, KeyValueClient& key_value_client);
+  /// Begins to load and follow the records. Call it once.
   void start() { load(); }
 
+  /// Whether the records have been listed once.
   bool loaded() const { return loaded_; }
-  // All changes up to here have been taken in.
+  /// All changes up to this revision have been applied.
   std::uint64_t revision() const { return revision_; }
-  // Steady time before which nothing was committed that is not taken in: when the newest listing or
-  // watch that was answered was asked for. 0: not loaded.
+  /// Steady time up to which all that was committed has been applied: when the newest answered
+  /// listing or watch was sent. Default-constructed until loaded.
   SteadyTime fresh_as_of() const { return fresh_as_of_; }
-  // Time of day of the same.
+  /// The same by the wall clock.
   WallTime fresh_as_of_wall() const { return fresh_as_of_wall_; }
+  /// Jobs with a record, by id.
   const std::map<std::string, CachedJob>& jobs() const { return jobs_; }
+  /// The job, or null if it has no record; valid until the next change.
   const CachedJob* job(const std::string& id) const;
+  /// The job's final state; nothing if it is not known to have one.
   std::optional<protocol::JobState> final_state(const std::string& id) const;
-  // Jobs known to be cancelled and not to be over.
+  /// Jobs known to be cancelled and not known to have a final state.
   const std::set<std::string>& cancelled() const { return cancelled_; }
+  /// Who leads; nothing if nobody does.
   const std::optional<CachedLeader>& leader() const { return leader_; }
+  /// The highest fencing token, and the version of its key; 0 if there is none.
   std::uint64_t token() const { return token_; }
   std::uint64_t token_version() const { return token_version_; }
+  /// The machine types, and the version of their key; 0 if none are stored.
   const std::vector<protocol::MachineType>& types() const { return types_; }
   std::uint64_t catalog_version() const { return catalog_version_; }
 
-  // Takes what an answer of the state service told, ahead of the watch.
+  /// Applies what a response of the state service shows, ahead of the watch; no value: the key does
+  /// not exist. A record that cannot be decoded is logged and ignored.
   void apply_response(const std::string& key, const std::optional<protocol::Json>& value,
                       std::uint64_t version);
-  // A sibling's directory shows the job as cancelled, which is for good; our own may get there
-  // later.
+  /// Marks a job as cancelled because a peer's shared state shows it so; ours may be behind.
   void apply_cancellation(const std::string& id);
+  /// `handler` runs whenever a job's record has changed or has been deleted.
   void on_job(std::function<void(const std::string& id)> handler) { on_job_ = std::move(handler); }
+  /// `handler` runs whenever the leader's record may have changed, once loaded.
   void on_leader(std::function<void()> handler) { on_leader_ = std::move(handler); }
 
  private:
   void load();
+  void apply_listing(const protocol::EntryPage& listing);
   void follow(std::uint64_t after);
   void note_fresh(SteadyTime at, WallTime wall_at);
-  void apply(const std::string& key, const std::optional<protocol::Json>& value,
-             std::uint64_t version);
   void apply_job(const std::string& id, const std::optional<protocol::Json>& value,
                  std::uint64_t version);
+  void apply_final_state(const std::string& id, const std::optional<protocol::Json>& value);
+  void apply_leader(const std::optional<protocol::Json>& value, std::uint64_t version);
 
   transport::Runtime& runtime_;
   KeyValueClient& key_value_client_;
@@ -77,7 +98,7 @@
   std::unordered_map<std::string, protocol::JobState> final_states_;
   std::set<std::string> cancelled_;
   std::optional<CachedLeader> leader_;
-  std::uint64_t leader_version_ = 0;  // newest revision heard of the leader's key
+  std::uint64_t leader_version_ = 0;  // newest version of the leader's key, also of its deletion
   std::uint64_t token_ = 0;
   std::uint64_t token_version_ = 0;
   std::vector<protocol::MachineType> types_;
--- a/tests/unit/shared_state_cache_test.cpp
+++ b/tests/unit/shared_state_cache_test.cpp
@@ -1,4 +1,5 @@
-// What a node knows of jobs: cancellations are for good, and proofs are as old as their question.
+// The copy of the shared records: cancellations are permanent, and freshness counts from the time
+// at which a call was sent.
 #include "coordination/state/shared_state_cache.hpp"
 
 #include <gtest/gtest.h>
@@ -10,7 +11,7 @@
 
 using protocol::Json;
 
-class DirectoryTest : public SharedStateFixture {
+class SharedStateCacheTest : public SharedStateFixture {
  protected:
   void SetUp() override { load_shared_state(); }
   void write(const std::string& key, const Json& value) {
@@ -27,7 +28,7 @@
   }
 };
 
-TEST_F(DirectoryTest, AnOlderRecordDoesNotUndoACancellationThatASiblingTold) {
+TEST_F(SharedStateCacheTest, OlderRecordDoesNotUndoACancellationThatAPeerAdvertised) {
   write(storage::job_key("req-1"), record("req-1"));
   shared_state.apply_cancellation("req-1");
   EXPECT_TRUE(shared_state.job("req-1")->record.cancelled);
@@ -35,14 +36,14 @@
   EXPECT_TRUE(shared_state.job("req-1")->record.cancelled);
 }
 
-TEST_F(DirectoryTest, ACancellationCountsBeforeTheJobIsKnown) {
+TEST_F(SharedStateCacheTest, CancellationAppliesToAJobThatIsNotKnownYet) {
   shared_state.apply_cancellation("req-2");
   write(storage::job_key("req-2"), record("req-2"));
   EXPECT_TRUE(shared_state.job("req-2")->record.cancelled);
   EXPECT_TRUE(shared_state.cancelled().contains("req-2"));
 }
 
-TEST_F(DirectoryTest, WhatIsOverIsNotNamedAnyMore) {
+TEST_F(SharedStateCacheTest, JobWithAFinalStateIsNoLongerListedAsCancelled) {
   shared_state.apply_cancellation("req-3");
   write(storage::final_record_key("req-3"),
         storage::encode_final_state(protocol::JobState::cancelled));
@@ -51,7 +52,7 @@
   EXPECT_TRUE(shared_state.cancelled().empty());
 }
 
-TEST_F(DirectoryTest, TheProofStandsStillWithTheService) {
+TEST_F(SharedStateCacheTest, FreshnessDoesNotAdvanceDuringAnOutage) {
   queue.run_until(10);
   const Seconds age = caller.now() - shared_state.fresh_as_of();
   EXPECT_LT(age, Seconds{2.5});
