--- a/src/coordination/election/leader_election.cpp
+++ b/src/coordination/election/leader_election.cpp
@@ -18,14 +18,14 @@
       shared_state_(shared_state),
       name_(std::move(name)),
       random_(seed) {
-  shared_state_.on_leader([this] { leader_changed(); });
+  shared_state_.on_leader([this] { on_leader_key_changed(); });
 }
 
 protocol::Condition LeaderElection::fence() const { return {keys::leader, version_}; }
 
 bool LeaderElection::lease_holds() const {
-  return is_leader_ && runtime_.now() - lease_confirmed_at_ <
-                           constants::leader_lease_ttl * (1 - constants::clock_drift);
+  return is_leader() && runtime_.now() - lease_confirmed_at_ <
+                            constants::leader_lease_ttl * (1 - constants::clock_drift);
 }
 
 void LeaderElection::start() { tick(); }
@@ -33,88 +33,119 @@
 void LeaderElection::tick() {
   std::uniform_real_distribution<double> jitter(0.8, 1.2);
   runtime_.after(constants::election_tick * jitter(random_), [this] { tick(); });
-  if (is_leader_) {
-    if (!renewing_ && runtime_.now() - renewal_sent_at_ >= constants::leader_lease_renew_interval)
-      renew();
-  } else {
-    maybe_campaign();
+  if (is_leader()) {
+    maybe_renew();
+  } else if (may_campaign()) {
+    campaign();
   }
 }
 
-void LeaderElection::maybe_campaign() {
-  if (campaigning_ || !shared_state_.loaded() || runtime_.now() < cooldown_until_) return;
-  const auto& leader = shared_state_.leader();
-  // A key with our own name is an earlier life's: that process has ended, so it can be replaced.
-  if (leader && leader->record.name != name_) return;
-  campaigning_ = true;
-  const SteadyTime sent = runtime_.now();
-  key_value_client_.create_lease(
-      constants::leader_lease_ttl, [this, sent](CallStatus status, std::uint64_t lease) {
-        if (status == CallStatus::ok) return campaign(lease, sent);
-        runtime_.after(constants::state_retry_pause, [this] { campaigning_ = false; });
-      });
+// --- campaign ---
+
+bool LeaderElection::may_campaign() const {
+  return role_ == Role::follower && shared_state_.loaded() && runtime_.now() >= cooldown_until_ &&
+         !key_is_held_by_other();
 }
 
-void LeaderElection::campaign(std::uint64_t lease, SteadyTime sent_at) {
+// A key with our own name was written by an earlier incarnation of this process, or by a claim of
+// ours that was not answered. Neither leads, so the key can be replaced.
+bool LeaderElection::key_is_held_by_other() const {
   const auto& leader = shared_state_.leader();
-  const std::uint64_t held = leader ? leader->version : 0;
-  if (leader && leader->record.name != name_) {
-    campaigning_ = false;
+  return leader && leader->record.name != name_;
+}
+
+void LeaderElection::campaign() {
+  role_ = Role::campaigning;
+  const SteadyTime began = runtime_.now();
+  key_value_client_.create_lease(constants::leader_lease_ttl,
+                                 [this, began](CallStatus status, std::uint64_t lease) {
+                                   if (status == CallStatus::ok) return claim_key(lease, began);
+                                   end_campaign_after_pause();
+                                 });
+}
+
+void LeaderElection::claim_key(std::uint64_t lease, SteadyTime campaign_began) {
+  if (key_is_held_by_other()) {
+    role_ = Role::follower;
     return key_value_client_.revoke_lease(lease);
   }
   const std::uint64_t token = shared_state_.token() + 1;
+  key_value_client_.compare_and_swap(
+      make_claim(lease, token), RequestPriority::lease,
+      [this, lease, token, campaign_began](const TransactionResult& result) {
+        if (result.status == CallStatus::ok)
+          return become_leader(lease, token, result.revision, campaign_began);
+        // A claim without a response may still succeed. Then the watch shows our name, and the next
+        // campaign replaces the key under a higher token.
+        if (result.status != CallStatus::no_response) key_value_client_.revoke_lease(lease);
+        end_campaign_after_pause();
+      });
+}
+
+protocol::Transaction LeaderElection::make_claim(std::uint64_t lease, std::uint64_t token) const {
+  const auto& leader = shared_state_.leader();
+  const std::uint64_t key_version = leader ? leader->version : 0;
   protocol::Transaction transaction;
-  transaction.conditions = {{keys::leader, held}, {keys::token, shared_state_.token_version()}};
+  transaction.conditions = {{keys::leader, key_version},
+                            {keys::token, shared_state_.token_version()}};
   transaction.changes = {
       {keys::leader, storage::encode(storage::LeaderRecord{name_, token}).dump(), lease},
       {keys::token, storage::encode_token(token).dump(), 0}};
-  key_value_client_.compare_and_swap(
-      transaction, RequestPriority::lease,
-      [this, lease, token, sent_at](const TransactionResult& result) {
-        if (result.status == CallStatus::ok) {
-          campaigning_ = false;
-          is_leader_ = true;
-          lease_ = lease;
-          token_ = token;
-          version_ = result.revision;
-          elected_at_ = lease_confirmed_at_ = renewal_sent_at_ = sent_at;
-          spdlog::info("leading token={}", token_);
-          shared_state_.apply_response(keys::token, storage::encode_token(token), version_);
-          shared_state_.apply_response(
-              keys::leader, storage::encode(storage::LeaderRecord{name_, token}), version_);
-          if (on_elected_) on_elected_();
-          return;
-        }
-        // With no answer the attempt may still succeed: then the watch shows our name,
-        // and the next attempt replaces it under a higher token.
-        if (result.status != CallStatus::no_response) key_value_client_.revoke_lease(lease);
-        runtime_.after(constants::state_retry_pause, [this] { campaigning_ = false; });
-      });
+  return transaction;
+}
+
+void LeaderElection::become_leader(std::uint64_t lease, std::uint64_t token, std::uint64_t version,
+                                   SteadyTime campaign_began) {
+  role_ = Role::leader;
+  lease_ = lease;
+  token_ = token;
+  version_ = version;
+  elected_at_ = campaign_began;
+  lease_confirmed_at_ = campaign_began;
+  renewal_sent_at_ = campaign_began;
+  spdlog::info("leading token={}", token_);
+  shared_state_.apply_response(keys::token, storage::encode_token(token), version_);
+  shared_state_.apply_response(keys::leader, storage::encode(storage::LeaderRecord{name_, token}),
+                               version_);
+  if (on_elected_) on_elected_();
 }
 
-void LeaderElection::renew() {
-  renewing_ = true;
+void LeaderElection::end_campaign_after_pause() {
+  runtime_.after(constants::state_retry_pause, [this] { role_ = Role::follower; });
+}
+
+// --- leader lease ---
+
+void LeaderElection::maybe_renew() {
+  if (is_renewing_ || runtime_.now() - renewal_sent_at_ < constants::leader_lease_renew_interval)
+    return;
+  is_renewing_ = true;
   renewal_sent_at_ = runtime_.now();
-  const SteadyTime sent = renewal_sent_at_;
-  const std::uint64_t lease = lease_;
-  key_value_client_.renew_lease(lease, [this, sent, lease](CallStatus status) {
-    renewing_ = false;
-    if (!is_leader_ || lease != lease_) return;
-    if (status == CallStatus::ok) {
-      lease_confirmed_at_ = std::max(lease_confirmed_at_, sent);
-    } else if (status == CallStatus::lease_expired) {
-      step_down("grant ended");
-    } else {
-      renewal_sent_at_ =
-          runtime_.now() - constants::leader_lease_renew_interval + constants::state_retry_pause;
-    }
-  });
-}
-
-void LeaderElection::leader_changed() {
-  if (!is_leader_) return;
+  key_value_client_.renew_lease(lease_,
+                                [this, sent = renewal_sent_at_, lease = lease_](CallStatus status) {
+                                  is_renewing_ = false;
+                                  if (is_leader() && lease == lease_) on_renewal(status, sent);
+                                });
+}
+
+void LeaderElection::on_renewal(CallStatus status, SteadyTime sent) {
+  if (status == CallStatus::ok) {
+    lease_confirmed_at_ = std::max(lease_confirmed_at_, sent);
+  } else if (status == CallStatus::lease_expired) {
+    step_down("leader lease expired");
+  } else {
+    // The next renewal is due after the retry pause instead of the renewal interval.
+    renewal_sent_at_ =
+        runtime_.now() - constants::leader_lease_renew_interval + constants::state_retry_pause;
+  }
+}
+
+// --- end of a term ---
+
+void LeaderElection::on_leader_key_changed() {
+  if (!is_leader()) return;
   const auto& leader = shared_state_.leader();
-  if (!leader || leader->version != version_) step_down("key taken or gone");
+  if (!leader || leader->version != version_) step_down("leader key changed or deleted");
 }
 
 bool LeaderElection::step_down_if_deposed(const TransactionResult& result) {
@@ -131,7 +162,8 @@
 }
 
 void LeaderElection::step_down(const std::string& why) {
-  if (!std::exchange(is_leader_, false)) return;
+  if (!is_leader()) return;
+  role_ = Role::follower;
   spdlog::info("no longer leading token={} why=\"{}\"", token_, why);
   if (on_deposed_) on_deposed_();
 }
--- a/tests/unit/leader_election_test.cpp
+++ b/tests/unit/leader_election_test.cpp
@@ -1,4 +1,4 @@
-// Elections: of controllers that run at the same moment one wins, and no token is had twice.
+// Of controllers that campaign at the same moment one wins, and no two terms share a token.
 #include "coordination/election/leader_election.hpp"
 
 #include <gtest/gtest.h>
@@ -19,43 +19,43 @@
   Candidate(simulation::EventQueue& queue, simulation::StateService& service,
             const std::string& name)
       : FakeHttpCaller(queue, service, 0),
-        store(*this, *this, settings),
-        shared_state(*this, store),
-        election(*this, store, shared_state, name, queue.random()) {
+        key_value_client(*this, *this, settings),
+        shared_state(*this, key_value_client),
+        election(*this, key_value_client, shared_state, name, queue.random()) {
     shared_state.start();
     election.start();
   }
   protocol::Settings settings;
-  KeyValueClient store;
+  KeyValueClient key_value_client;
   SharedStateCache shared_state;
   LeaderElection election;
 };
 
-TEST(Election, OneOfThoseThatRunAtOnceWins) {
-  int contested = 0;
+TEST(LeaderElectionTest, OneOfSeveralSimultaneousCampaignsWins) {
+  int elections = 0;
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     simulation::EventQueue queue(seed);
     simulation::StateService service(queue, 250, 40, 32);
-    std::vector<std::unique_ptr<Candidate>> all;
+    std::vector<std::unique_ptr<Candidate>> candidates;
     std::map<std::uint64_t, Candidate*> winners;
     for (const char* name : {"stile-0", "stile-1", "stile-2"}) {
-      all.push_back(std::make_unique<Candidate>(queue, service, name));
-      Candidate* self = all.back().get();
-      self->election.on_elected([&winners, &contested, self] {
+      candidates.push_back(std::make_unique<Candidate>(queue, service, name));
+      Candidate* self = candidates.back().get();
+      self->election.on_elected([&winners, &elections, self] {
         const auto token = self->election.token();
-        EXPECT_TRUE(winners.emplace(token, self).second) << "token " << token << " had twice";
-        ++contested;
+        EXPECT_TRUE(winners.emplace(token, self).second) << "token " << token << " of two terms";
+        ++elections;
       });
     }
-    // The leader gives its grant back over and over, and everybody runs.
-    for (int turn = 0; turn < 10; ++turn) {
+    // The leader resigns over and over, and everybody campaigns.
+    for (int term = 0; term < 10; ++term) {
       queue.run_until(queue.now() + 1);
-      for (auto& each : all)
-        if (each->election.is_leader()) each->election.resign("the test", Seconds{0.3});
+      for (auto& candidate : candidates)
+        if (candidate->election.is_leader()) candidate->election.resign("the test", Seconds{0.3});
     }
     EXPECT_GE(winners.size(), 8u);
   }
-  EXPECT_GE(contested, 480);
+  EXPECT_GE(elections, 480);
 }
 
 }  // namespace
