--- a/tests/simulation/event_queue.cpp
+++ b/tests/simulation/event_queue.cpp
@@ -5,7 +5,7 @@
 namespace poppystile::simulation {
 
 void EventQueue::at(double time, std::function<void()> action) {
-  events_.push({std::max(time, now_), order_++, std::move(action)});
+  events_.push({std::max(time, now_), next_order_++, std::move(action)});
 }
 
 void EventQueue::run_until(double end) {
--- a/tests/simulation/fake_http_caller.hpp
+++ b/tests/simulation/fake_http_caller.hpp
@@ -1,4 +1,5 @@
-// One controller's view of time and of the stand-in state service, as long as it lives.
+/// \file
+/// Time, and calls to the simulated state service, as one part of a controller sees them in a test.
 #pragma once
 
 #include <functional>
@@ -13,7 +14,7 @@
 
 namespace poppystile::simulation {
 
-// A record as some other node would have written it.
+/// Writes a record to the state service as some controller would.
 inline void write_record(StateService& service, const std::string& key,
                          const protocol::Json& value) {
   const protocol::Json put = {{"write", key}, {"data", value}};
@@ -21,54 +22,58 @@
                  [](const transport::HttpResponse&) {});
 }
 
+/// Runs timers in simulated time and sends every call to the state service, with the faults set.
+/// Once destroyed, it runs no callback any more; requests already sent still arrive.
 class FakeHttpCaller : public transport::Runtime, public transport::HttpCaller {
  public:
-  FakeHttpCaller(EventQueue& queue, StateService& service, double lose_answers)
-      : queue_(queue), service_(service), lose_answers_(lose_answers) {}
+  /// This share of the responses is lost.
+  FakeHttpCaller(EventQueue& queue, StateService& service, double lost_responses)
+      : queue_(queue), service_(service), lost_responses_(lost_responses) {}
 
   SteadyTime now() const override { return SteadyTime{Seconds{1000 + queue_.now()}}; }
   WallTime wall_now() const override { return WallTime{Seconds{1.7e9 + queue_.now()}}; }
   void after(Seconds delay, std::function<void()> action) override {
-    queue_.after(delay.count(), [mine = std::weak_ptr<int>(alive_), action = std::move(action)] {
-      if (!mine.expired()) action();
+    queue_.after(delay, [alive = std::weak_ptr<int>(lifetime_), action = std::move(action)] {
+      if (!alive.expired()) action();
     });
   }
   void call(const transport::Endpoint&, transport::HttpRequest request, Seconds timeout,
             std::function<void(transport::HttpResponse)> done) override {
     auto settled = std::make_shared<bool>(false);
-    const auto settle = [mine = std::weak_ptr<int>(alive_), settled,
+    const auto settle = [alive = std::weak_ptr<int>(lifetime_), settled,
                          done = std::move(done)](const transport::HttpResponse& response) {
-      if (!mine.expired() && !std::exchange(*settled, true)) done(response);
+      if (!alive.expired() && !std::exchange(*settled, true)) done(response);
     };
-    queue_.after(timeout.count(), [settle] { settle({}); });
-    const bool writes =
+    queue_.after(timeout, [settle] { settle({}); });
+    const bool is_journal_write =
         request.method == "POST" && request.body.find("journal/") != std::string::npos;
-    if (writes && repeat_after_s > 0)
-      queue_.after(repeat_after_s, [&service = service_, request] {
+    if (is_journal_write && journal_duplicate_delay > Seconds{0})
+      queue_.after(journal_duplicate_delay, [&service = service_, request] {
         service.handle(request, [](const transport::HttpResponse&) {});
       });
-    const double held_s = writes ? hold_journal_s : 0;
-    // What was sent arrives even when its sender has died since.
-    queue_.after(held_s + queue_.uniform(0.001, 0.02), [&queue = queue_, &service = service_,
-                                                        lose = lose_answers_,
-                                                        delay = answer_delay_s, request, settle] {
-      service.handle(request,
-                     [&queue, lose, delay, settle](const transport::HttpResponse& response) {
-                       if (!queue.chance(lose))
-                         queue.after(delay, [settle, response] { settle(response); });
-                     });
-    });
+    const Seconds added = is_journal_write ? journal_write_delay : Seconds{0};
+    queue_.after(added + queue_.uniform(min_latency, max_latency),
+                 [&queue = queue_, &service = service_, lost = lost_responses_,
+                  delay = response_delay, request, settle] {
+                   service.handle(request, [&queue, lost, delay,
+                                            settle](const transport::HttpResponse& response) {
+                     if (!queue.chance(lost))
+                       queue.after(delay, [settle, response] { settle(response); });
+                   });
+                 });
   }
 
-  double hold_journal_s = 0;  // transactions of the journal arrive this much later
-  double repeat_after_s = 0;  // and once more after this
-  double answer_delay_s = 0;  // every answer comes so much later
+  Seconds journal_write_delay{0};      ///< added to the journal's transactions on their way
+  Seconds journal_duplicate_delay{0};  ///< after which those arrive once more; zero: they do not
+  Seconds response_delay{0};           ///< added to every response
 
  private:
+  static constexpr Seconds min_latency{0.001}, max_latency{0.02};
+
   EventQueue& queue_;
   StateService& service_;
-  double lose_answers_;
-  std::shared_ptr<int> alive_ = std::make_shared<int>(0);
+  double lost_responses_;
+  std::shared_ptr<int> lifetime_ = std::make_shared<int>(0);
 };
 
 }  // namespace poppystile::simulation
--- a/tests/simulation/gangs.cpp
+++ b/tests/simulation/gangs.cpp
@@ -6,135 +6,139 @@
 namespace poppystile::simulation {
 
 namespace {
-constexpr double watch_every_s = 0.5;  // how often the tasks of a gang look at one another
+constexpr Seconds host_check_interval{0.5};
+constexpr double min_work_s = 0.1;  // of an attempt that has everything done
+constexpr double min_run_factor = 0.6, max_run_factor = 1.4;  // of the estimated run time
+constexpr double min_notice_factor = 0.2;  // of the time within which peers notice a lost task
 }  // namespace
 
 void Gangs::join(const std::string& job, std::uint64_t attempt, std::uint32_t index, GangHost& host,
-                 std::uint64_t task) {
+                 std::uint64_t run) {
   const Key key{job, attempt};
-  Attempt& made = attempts_[key];
-  made.members[index] = {&host, task, false};
-  queue_.after(timing_.wait_s, [this, key, index, task] {
+  Attempt& joined = attempts_[key];
+  joined.members[index] = {&host, run, false};
+  queue_.after(timing_.start_timeout, [this, key, index, run] {
     Attempt& now = attempts_[key];
     const auto member = now.members.find(index);
-    if (now.begun || member == now.members.end() || member->second.task != task) return;
+    if (now.is_started || member == now.members.end() || member->second.run != run) return;
     ++incomplete_;
-    member->second.host->end_gang_task(task, "alone", false);
+    member->second.host->end_gang_task(run, "alone", false);
   });
-  if (!made.begun && made.members.size() == invariants_.job(job)->tasks) begin(key);
+  if (!joined.is_started && joined.members.size() == invariants_.find_job(job)->tasks) start(key);
 }
 
-void Gangs::begin(const Key& key) {
+void Gangs::start(const Key& key) {
   Attempt& attempt = attempts_[key];
-  attempt.begun = true;
-  attempt.begun_at = queue_.now();
-  ++begun_;
-  for (auto& [index, member] : attempt.members) member.host->begin_gang_task(member.task);
-  queue_.after(std::max(0.1, total_s(key.first) - saved_s_[key.first]),
-               [this, key] { finish(key); });
-  watch(key);
+  attempt.is_started = true;
+  attempt.started_at = queue_.now();
+  ++started_;
+  for (auto& [index, member] : attempt.members) member.host->start_gang_task(member.run);
+  const double left_s = total_work_s(key.first) - saved_progress_s_[key.first];
+  queue_.after(Seconds{std::max(min_work_s, left_s)}, [this, key] { complete(key); });
+  check_hosts(key);
 }
 
-bool Gangs::any_host_hangs(const Attempt& attempt) {
+bool Gangs::has_hanging_host(const Attempt& attempt) {
   return std::any_of(attempt.members.begin(), attempt.members.end(),
                      [](const auto& each) { return each.second.host->is_hanging(); });
 }
 
-// A machine that hangs is noticed as if its task were gone.
-void Gangs::watch(const Key& key) {
-  Attempt& attempt = attempts_[key];
-  if (attempt.over) return;
-  if (any_host_hangs(attempt)) return fail(key);
-  queue_.after(watch_every_s, [this, key] { watch(key); });
+// The tasks notice a machine that hangs as if its task were gone.
+void Gangs::check_hosts(const Key& key) {
+  const Attempt& attempt = attempts_[key];
+  if (attempt.is_ended) return;
+  if (has_hanging_host(attempt)) return fail(key);
+  queue_.after(host_check_interval, [this, key] { check_hosts(key); });
 }
 
-void Gangs::finish(const Key& key) {
+void Gangs::complete(const Key& key) {
   Attempt& attempt = attempts_[key];
-  if (attempt.over || attempt.stopped_at >= 0) return;
-  if (any_host_hangs(attempt)) return fail(key);
-  attempt.over = true;
-  for (std::uint32_t index = 0; index < invariants_.job(key.first)->tasks; ++index)
-    invariants_.completed(key.first, index);
-  evict_all(key, "done", false);
+  if (attempt.is_ended || attempt.stopped_at >= 0) return;
+  if (has_hanging_host(attempt)) return fail(key);
+  attempt.is_ended = true;
+  for (std::uint32_t index = 0; index < invariants_.find_job(key.first)->tasks; ++index)
+    invariants_.record_task_completed(key.first, index);
+  end_all_tasks(key, "done", false);
 }
 
 void Gangs::leave(const std::string& job, std::uint64_t attempt, std::uint32_t index) {
   const Key key{job, attempt};
   Attempt& known = attempts_[key];
-  if (known.members.erase(index) > 0 && known.begun && !known.over) fail(key);
+  if (known.members.erase(index) > 0 && known.is_started && !known.is_ended) fail(key);
 }
 
 void Gangs::fail(const Key& key) {
   Attempt& attempt = attempts_[key];
-  attempt.over = true;
-  ++failures_;
-  const double every = invariants_.job(key.first)->checkpoint_interval.count();
-  if (every > 0)
-    saved_s_[key.first] =
-        std::max(saved_s_[key.first], std::floor(progress_s(key) / every) * every);
+  attempt.is_ended = true;
+  ++failed_;
+  const double interval = invariants_.find_job(key.first)->checkpoint_interval.count();
+  double& saved = saved_progress_s_[key.first];
+  if (interval > 0) saved = std::max(saved, std::floor(progress_s(key) / interval) * interval);
   for (const auto& [index, member] : attempt.members)
-    queue_.after(timing_.peer_s * queue_.uniform(0.2, 1), [this, key, index = index] {
-      const auto found = attempts_[key].members.find(index);
-      if (found == attempts_[key].members.end()) return;
-      const Member left = found->second;
-      left.host->end_gang_task(left.task, "peers", false);
-    });
+    queue_.after(timing_.peer_timeout * queue_.uniform(min_notice_factor, 1),
+                 [this, key, index = index] {
+                   const auto found = attempts_[key].members.find(index);
+                   if (found == attempts_[key].members.end()) return;
+                   const Member left = found->second;
+                   left.host->end_gang_task(left.run, "peers", false);
+                 });
 }
 
 void Gangs::stop(const std::string& job, std::uint64_t attempt, std::uint32_t index,
-                 double grace_s) {
+                 Seconds grace) {
   const Key key{job, attempt};
   Attempt& known = attempts_[key];
   const auto found = known.members.find(index);
   if (found == known.members.end()) return;
-  const protocol::JobSpec& spec = *invariants_.job(job);
-  if (!known.begun || known.over || spec.checkpoint_interval <= Seconds{0} ||
-      grace_s < spec.checkpoint_save_time.count()) {
+  const protocol::JobSpec& spec = *invariants_.find_job(job);
+  const Seconds save_time = spec.checkpoint_save_time;
+  if (!known.is_started || known.is_ended || spec.checkpoint_interval <= Seconds{0} ||
+      grace < save_time) {
     const Member member = found->second;
-    return member.host->end_gang_task(member.task, "halted", false);
+    return member.host->end_gang_task(member.run, "halted", false);
   }
-  found->second.told_to_stop = true;
+  found->second.is_stopping = true;
   if (known.stopped_at < 0) {
     known.stopped_at = queue_.now();
-    // Whoever has not been told by then makes the save fail.
-    queue_.after(timing_.peer_s, [this, key] {
-      if (!attempts_[key].over && !all_told(key)) fail(key);
+    queue_.after(timing_.peer_timeout, [this, key] {
+      const Attempt& now = attempts_[key];
+      if (!now.is_ended && !all_stopping(now)) fail(key);
     });
   }
-  if (all_told(key)) queue_.after(spec.checkpoint_save_time.count(), [this, key] { store(key); });
+  if (all_stopping(known)) queue_.after(save_time, [this, key] { save(key); });
 }
 
-bool Gangs::all_told(const Key& key) {
-  const Attempt& attempt = attempts_[key];
+bool Gangs::all_stopping(const Attempt& attempt) {
   return std::all_of(attempt.members.begin(), attempt.members.end(),
-                     [](const auto& each) { return each.second.told_to_stop; });
+                     [](const auto& each) { return each.second.is_stopping; });
 }
 
-void Gangs::store(const Key& key) {
+void Gangs::save(const Key& key) {
   Attempt& attempt = attempts_[key];
-  if (attempt.over) return;
-  saved_s_[key.first] = std::max(saved_s_[key.first], progress_s(key));
-  attempt.over = true;
-  ++saves_;
-  evict_all(key, "halted", true);
+  if (attempt.is_ended) return;
+  double& saved = saved_progress_s_[key.first];
+  saved = std::max(saved, progress_s(key));
+  attempt.is_ended = true;
+  ++saved_;
+  end_all_tasks(key, "halted", true);
 }
 
-void Gangs::evict_all(const Key& key, const std::string& cause, bool stored) {
-  const auto members = attempts_[key].members;  // each end removes one
-  for (const auto& [index, member] : members)
-    member.host->end_gang_task(member.task, cause, stored);
+void Gangs::end_all_tasks(const Key& key, const std::string& cause, bool saved) {
+  const auto members = attempts_[key].members;  // a copy: each end removes one
+  for (const auto& [index, member] : members) member.host->end_gang_task(member.run, cause, saved);
 }
 
 double Gangs::progress_s(const Key& key) {
   const Attempt& attempt = attempts_[key];
   const double until = attempt.stopped_at >= 0 ? attempt.stopped_at : queue_.now();
-  return saved_s_[key.first] + until - attempt.begun_at;
+  return saved_progress_s_[key.first] + until - attempt.started_at;
 }
 
-double Gangs::total_s(const std::string& job) {
-  const auto [found, inserted] = total_s_.try_emplace(job, 0);
+double Gangs::total_work_s(const std::string& job) {
+  const auto [found, inserted] = total_work_s_.try_emplace(job, 0);
   if (inserted)
-    found->second = invariants_.job(job)->estimated_run_time.count() * queue_.uniform(0.6, 1.4);
+    found->second = invariants_.find_job(job)->estimated_run_time.count() *
+                    queue_.uniform(min_run_factor, max_run_factor);
   return found->second;
 }
 
--- a/tests/simulation/gangs.hpp
+++ b/tests/simulation/gangs.hpp
@@ -1,6 +1,6 @@
 /// \file
 /// How the tasks of a gang wait for one another, run, stop and end together: the users' table for
-/// workers, played for all machines of the simulated world.
+/// workers, played for all machines of a simulation.
 #pragma once
 
 #include <cstdint>
@@ -13,71 +13,83 @@
 
 namespace poppystile::simulation {
 
-/// The machine that a gang's task is on.
+/// The machine that a gang's task is on. `run` is the host's own name for the run of the task.
 class GangHost {
  public:
   virtual ~GangHost() = default;
-  virtual void begin_gang_task(std::uint64_t task) = 0;
-  virtual void end_gang_task(std::uint64_t task, const std::string& cause, bool stored) = 0;
+  /// All tasks of the gang are there: the task begins to work.
+  virtual void start_gang_task(std::uint64_t run) = 0;
+  /// The task exits. `saved`: its progress has been saved.
+  virtual void end_gang_task(std::uint64_t run, const std::string& cause, bool saved) = 0;
   virtual bool is_hanging() const = 0;
 };
 
+/// How long the tasks of a gang wait for one another.
 struct GangTiming {
-  double wait_s = 40;
-  double peer_s = 6;
+  /// After which a task that waits for the others to start gives up.
+  Seconds start_timeout{40};
+  /// After which all tasks have noticed that one of them is gone, and a save fails that some have
+  /// not joined.
+  Seconds peer_timeout{6};
 };
 
+/// All gangs of a simulation, by attempt.
 class Gangs {
  public:
   Gangs(EventQueue& queue, InvariantChecker& invariants, const GangTiming& timing)
       : queue_(queue), invariants_(invariants), timing_(timing) {}
 
-  /// A task of this attempt has its image. `task` is the host's own name for it.
+  /// A task of this attempt has its image and waits for the others.
   void join(const std::string& job, std::uint64_t attempt, std::uint32_t index, GangHost& host,
-            std::uint64_t task);
+            std::uint64_t run);
   /// A task is gone, for whatever reason.
   void leave(const std::string& job, std::uint64_t attempt, std::uint32_t index);
-  void stop(const std::string& job, std::uint64_t attempt, std::uint32_t index, double grace_s);
+  /// A task is to stop within `grace`. Progress is saved if all tasks are to stop in time.
+  void stop(const std::string& job, std::uint64_t attempt, std::uint32_t index, Seconds grace);
 
-  std::uint64_t begun() const { return begun_; }
-  std::uint64_t saved() const { return saves_; }
-  std::uint64_t failed() const { return failures_; }
+  /// Attempts of which all tasks were there at once.
+  std::uint64_t started() const { return started_; }
+  /// Attempts that were stopped with their progress saved.
+  std::uint64_t saved() const { return saved_; }
+  /// Attempts that had started and lost a task.
+  std::uint64_t failed() const { return failed_; }
+  /// Tasks that gave up waiting for the others.
   std::uint64_t incomplete() const { return incomplete_; }
 
  private:
   struct Member {
     GangHost* host = nullptr;
-    std::uint64_t task = 0;
-    bool told_to_stop = false;
+    std::uint64_t run = 0;
+    bool is_stopping = false;
   };
   struct Attempt {
-    std::map<std::uint32_t, Member> members;
-    bool begun = false;
-    bool over = false;
-    double begun_at = 0;
-    double stopped_at = -1;  // the first stop
+    std::map<std::uint32_t, Member> members;  // by task
+    bool is_started = false;
+    bool is_ended = false;
+    double started_at = 0;   // simulated time
+    double stopped_at = -1;  // simulated time of the first stop; negative: none
   };
-  using Key = std::pair<std::string, std::uint64_t>;
+  using Key = std::pair<std::string, std::uint64_t>;  // job and attempt
 
-  void begin(const Key& key);
-  static bool any_host_hangs(const Attempt& attempt);
-  void watch(const Key& key);
-  void finish(const Key& key);
+  void start(const Key& key);
+  static bool has_hanging_host(const Attempt& attempt);
+  void check_hosts(const Key& key);
+  void complete(const Key& key);
   void fail(const Key& key);
-  void store(const Key& key);
-  bool all_told(const Key& key);
-  void evict_all(const Key& key, const std::string& cause, bool stored);
+  void save(const Key& key);
+  static bool all_stopping(const Attempt& attempt);
+  void end_all_tasks(const Key& key, const std::string& cause, bool saved);
   /// Seconds of work that the attempt has done, with what was saved before it.
   double progress_s(const Key& key);
-  double total_s(const std::string& job);
+  double total_work_s(const std::string& job);
 
   EventQueue& queue_;
   InvariantChecker& invariants_;
   GangTiming timing_;
   std::map<Key, Attempt> attempts_;
-  std::map<std::string, double> saved_s_;  // progress that is safe, by job
-  std::map<std::string, double> total_s_;
-  std::uint64_t begun_ = 0, saves_ = 0, failures_ = 0, incomplete_ = 0;
+  std::map<std::string, double> saved_progress_s_;  // by job
+  std::map<std::string, double> total_work_s_;      // by job
+  std::uint64_t started_ = 0, saved_ = 0, failed_ = 0, incomplete_ = 0;
 };
 
 }  // namespace poppystile::simulation
--- a/tests/simulation/invariant_checker.cpp
+++ b/tests/simulation/invariant_checker.cpp
@@ -1,187 +1,268 @@
 #include "simulation/invariant_checker.hpp"
 
-#include <algorithm>
-
 namespace poppystile::simulation {
 
 namespace {
-constexpr double sweep_slack_s = 0.5;  // seconds; the sweep runs every half second
-constexpr double unanswered_s = 75;    // PROTOCOL: after the last trouble
-constexpr double waits_s = 90;         // the same, beside room that fits
-// seconds; an image may take as long to come, so that a start long after its command is no fault.
+// All in seconds.
+constexpr double check_tolerance_s = 0.5;  // the check runs every half second
+constexpr double max_unanswered_s = 75;    // PROTOCOL: after the last fault
+constexpr double max_waiting_s = 90;       // PROTOCOL: after the last fault, beside room that fits
+// An image may take as long to arrive, so that a start up to then after its command is no fault.
 constexpr double late_start_s = 20;
-constexpr double largest_begin_s = 240;  // PROTOCOL: the largest jobs begin within this
+constexpr double largest_start_s = 240;  // PROTOCOL: the largest jobs start within this
 constexpr double largest_share = 0.1;    // of a class's jobs, by tasks
+
+std::string task_on_machine(const std::string& job, std::uint32_t index,
+                            const std::string& machine) {
+  return job + "/" + std::to_string(index) + " on " + machine;
+}
 }  // namespace
 
-void InvariantChecker::breach(const std::string& rule, const std::string& detail) {
-  broken_.push_back(std::to_string(queue_.now()) + " " + rule + " " + detail);
+const char* name_of(Invariant invariant) {
+  switch (invariant) {
+    case Invariant::at_most_one_copy:
+      return "at_most_one_copy";
+    case Invariant::placement_constraints:
+      return "placement_constraints";
+    case Invariant::team_quota:
+      return "team_quota";
+    case Invariant::cancellation_deadline:
+      return "cancellation_deadline";
+    case Invariant::accepted_job_durable:
+      return "accepted_job_durable";
+    case Invariant::only_submitted_jobs:
+      return "only_submitted_jobs";
+    case Invariant::done_means_completed:
+      return "done_means_completed";
+    case Invariant::terminal_state_final:
+      return "terminal_state_final";
+    case Invariant::work_conserving:
+      return "work_conserving";
+    case Invariant::fair_service:
+      return "fair_service";
+    case Invariant::invalid_request_refused:
+      return "invalid_request_refused";
+  }
+  return "unknown";
 }
 
-const protocol::JobSpec* InvariantChecker::job(const std::string& id) const {
-  const auto it = jobs_.find(id);
+void InvariantChecker::record_violation(Invariant invariant, const std::string& detail) {
+  violations_.push_back(std::to_string(queue_.now()) + " " + name_of(invariant) + " " + detail);
+}
+
+void InvariantChecker::record_submission(const protocol::JobSpec& job) {
+  jobs_[job.id] = job;
+  submitted_at_[job.id] = queue_.now();
+}
+
+const protocol::JobSpec* InvariantChecker::find_job(const std::string& job) const {
+  const auto it = jobs_.find(job);
   return it == jobs_.end() ? nullptr : &it->second;
 }
 
-void InvariantChecker::on_machine(const std::string& id, std::uint32_t index, const Place& place) {
+void InvariantChecker::record_task_placed(const std::string& job, std::uint32_t index,
+                                          const HostMachine& host) {
   ++starts_;
-  if (is_mistaken(id)) ++mistaken_starts_;
-  began_.emplace(id, queue_.now());
-  const std::string name = id + "/" + std::to_string(index) + " on " + place.machine;
-  const auto& spec = jobs_.at(id);
-  auto& places = on_[{id, index}];
-  for (const auto& [machine, other] : places)
-    if (machine != place.machine)
-      breach("ran_twice", std::string(name).append(" and ").append(machine));
+  if (is_failing(job)) ++failing_job_starts_;
+  first_started_at_.emplace(job, queue_.now());
+  const auto& spec = jobs_.at(job);
+  const std::string name = task_on_machine(job, index, host.machine);
+  auto& hosts = hosts_[{job, index}];
+  for (const auto& [machine, other] : hosts)
+    if (machine != host.machine)
+      record_violation(Invariant::at_most_one_copy,
+                       std::string(name).append(" and ").append(machine));
+  check_placement(spec, index, host);
+  if (hosts.empty()) team_usage_[spec.team] += spec.each.cpus;
+  hosts[host.machine] = host;
+  const auto quota = team_quotas_[spec.team];
+  if (quota > 0 && team_usage_[spec.team] > quota)
+    record_violation(Invariant::team_quota, spec.team);
+  check_start_of_cancelled(job, name);
+}
+
+void InvariantChecker::check_start_of_cancelled(const std::string& job,
+                                                const std::string& task_on_machine) {
+  const auto cancelled = cancelled_at_.find(job);
+  if (cancelled == cancelled_at_.end()) return;
+  if (queue_.now() > cancelled->second + late_start_s) ++starts_after_cancellation_;
+  if (queue_.now() > cancelled->second + cancel_timeout_s_)
+    record_violation(Invariant::cancellation_deadline, task_on_machine + " started");
+}
+
+void InvariantChecker::check_placement(const protocol::JobSpec& spec, std::uint32_t index,
+                                       const HostMachine& host) {
   const bool type_allowed = !spec.types || std::find(spec.types->begin(), spec.types->end(),
-                                                     place.type) != spec.types->end();
-  if (!type_allowed || (place.spot && !spec.spot) || (spec.zone && *spec.zone != place.zone))
-    breach("wrong_place", name);
-  if (spec.one_zone || spec.spread) check_zones(spec, index, place);
-  if (places.empty()) team_cpus_[spec.team] += spec.each.cpus;
-  places[place.machine] = place;
-  const auto limit = limits_[spec.team];
-  if (limit > 0 && team_cpus_[spec.team] > limit) breach("quota", spec.team);
-  const auto told = cancelled_told_.find(id);
-  if (told == cancelled_told_.end()) return;
-  if (queue_.now() > told->second + late_start_s) ++cancelled_starts_;
-  if (queue_.now() > told->second + cancel_s_) breach("ran_cancelled", name + " started");
+                                                     host.type) != spec.types->end();
+  if (!type_allowed || (host.spot && !spec.spot) || (spec.zone && *spec.zone != host.zone))
+    record_violation(Invariant::placement_constraints,
+                     task_on_machine(spec.id, index, host.machine));
+  if (spec.one_zone || spec.spread) check_zones(spec, index, host);
 }
 
 void InvariantChecker::check_zones(const protocol::JobSpec& spec, std::uint32_t index,
-                                   const Place& place) {
-  const std::string& id = spec.id;
-  const std::string name = id + "/" + std::to_string(index) + " on " + place.machine;
-  std::uint32_t here = 1;
-  std::uint32_t elsewhere = 0;
-  for (auto it = on_.lower_bound({id, 0}); it != on_.end() && it->first.first == id; ++it) {
-    const auto& [task, where] = *it;
+                                   const HostMachine& host) {
+  const std::string name = task_on_machine(spec.id, index, host.machine);
+  std::uint32_t same_zone = 1;
+  std::uint32_t other_zones = 0;
+  for (auto it = hosts_.lower_bound({spec.id, 0}); it != hosts_.end() && it->first.first == spec.id;
+       ++it) {
+    const auto& [task, hosts] = *it;
     if (task.second == index) continue;
-    for (const auto& [machine, other] : where) ++(other.zone == place.zone ? here : elsewhere);
+    for (const auto& [machine, other] : hosts)
+      ++(other.zone == host.zone ? same_zone : other_zones);
   }
-  if (spec.one_zone && elsewhere > 0) breach("wrong_place", name + " splits the zone");
-  if (spec.spread && here > (spec.tasks + 1) / 2) breach("wrong_place", name + " crowds a zone");
+  if (spec.one_zone && other_zones > 0)
+    record_violation(Invariant::placement_constraints, name + " is not in the job's one zone");
+  if (spec.spread && same_zone > (spec.tasks + 1) / 2)
+    record_violation(Invariant::placement_constraints, name + " exceeds its zone's half");
 }
 
-void InvariantChecker::off_machine(const std::string& id, std::uint32_t index,
-                                   const std::string& machine) {
-  const auto it = on_.find({id, index});
-  if (it == on_.end() || it->second.erase(machine) == 0 || !it->second.empty()) return;
-  on_.erase(it);
-  team_cpus_[jobs_.at(id).team] -= jobs_.at(id).each.cpus;
+void InvariantChecker::record_task_removed(const std::string& job, std::uint32_t index,
+                                           const std::string& machine) {
+  const auto it = hosts_.find({job, index});
+  if (it == hosts_.end() || it->second.erase(machine) == 0 || !it->second.empty()) return;
+  hosts_.erase(it);
+  team_usage_[jobs_.at(job).team] -= jobs_.at(job).each.cpus;
 }
 
-void InvariantChecker::completed(const std::string& id, std::uint32_t index) {
-  auto& tasks = completed_[id];
-  const bool last = tasks.insert(index).second && tasks.size() == jobs_.at(id).tasks;
-  if (last && on_last_task_) on_last_task_(id);
+void InvariantChecker::record_task_completed(const std::string& job, std::uint32_t index) {
+  auto& tasks = completed_[job];
+  const bool is_last = tasks.insert(index).second && tasks.size() == jobs_.at(job).tasks;
+  if (is_last && on_job_completed_) on_job_completed_(job);
 }
 
-bool InvariantChecker::is_on_a_machine(const std::string& id) const {
-  const auto it = on_.lower_bound({id, 0});
-  return it != on_.end() && it->first.first == id;
+bool InvariantChecker::is_task_completed(const std::string& job, std::uint32_t index) const {
+  const auto it = completed_.find(job);
+  return it != completed_.end() && it->second.contains(index);
 }
 
-std::set<std::string> InvariantChecker::machines_of(const std::string& id) const {
+bool InvariantChecker::has_task_on_machine(const std::string& job) const {
+  const auto it = hosts_.lower_bound({job, 0});
+  return it != hosts_.end() && it->first.first == job;
+}
+
+std::set<std::string> InvariantChecker::machines_of(const std::string& job) const {
   std::set<std::string> out;
-  for (auto it = on_.lower_bound({id, 0}); it != on_.end() && it->first.first == id; ++it)
-    for (const auto& [machine, place] : it->second) out.insert(machine);
+  for (auto it = hosts_.lower_bound({job, 0}); it != hosts_.end() && it->first.first == job; ++it)
+    for (const auto& [machine, host] : it->second) out.insert(machine);
   return out;
 }
 
-bool InvariantChecker::waits_within_limit(const std::string& id) const {
-  const auto& spec = jobs_.at(id);
-  const auto done = completed_.find(id);
-  if (cancelled_told_.contains(id) || is_on_a_machine(id) ||
-      (done != completed_.end() && done->second.size() == spec.tasks))
-    return false;
-  const auto limit = limits_.find(spec.team);
-  const auto used = team_cpus_.find(spec.team);
-  const std::int64_t needed =
-      spec.each.cpus * (spec.kind == protocol::JobKind::gang ? spec.tasks : 1);
-  return limit == limits_.end() || limit->second == 0 ||
-         (used == team_cpus_.end() ? 0 : used->second) + needed <= limit->second;
+void InvariantChecker::record_response(const std::string& job, int status, const std::string& state,
+                                       RequestKind kind) {
+  if (status == 404 && accepted_.contains(job))
+    record_violation(Invariant::accepted_job_durable, job + " got 404");
+  const bool refused = status == 400 || status == 422;
+  if (refused && kind == RequestKind::submission && accepted_.contains(job))
+    record_violation(Invariant::accepted_job_durable, job + " refused when repeated");
+  if (status != 200 && status != 201) return;
+  if (!jobs_.contains(job)) return record_violation(Invariant::only_submitted_jobs, job);
+  accepted_.insert(job);
+  last_answered_[job] = queue_.now();
+  if (state == "done" && completed_[job].size() < jobs_.at(job).tasks)
+    record_violation(Invariant::done_means_completed, job);
+  if (done_.contains(job) && state != "done")
+    record_violation(Invariant::terminal_state_final, job + " done then " + state);
+  if (cancelled_at_.contains(job) && state != "aborted")
+    record_violation(Invariant::terminal_state_final, job + " cancelled then " + state);
+  if (state == "done") done_.insert(job);
 }
 
-void InvariantChecker::waits(const std::string& id, const std::string& beside) {
-  if (beside.empty()) {
-    waits_since_.erase(id);
-    return;
-  }
-  const double since = waits_since_.emplace(id, queue_.now()).first->second;
-  if (queue_.now() - std::max(since, troubles_until_) <= waits_s) return;
-  breach("waits", std::string(id).append(" beside room on ").append(beside));
-  waits_since_[id] = queue_.now();
+void InvariantChecker::record_cancellation_confirmed(const std::string& job) {
+  cancelled_at_.emplace(job, queue_.now());
 }
 
-bool InvariantChecker::is_completed(const std::string& id, std::uint32_t index) const {
-  const auto it = completed_.find(id);
-  return it != completed_.end() && it->second.contains(index);
+void InvariantChecker::record_invalid_submission_accepted(const std::string& defect) {
+  record_violation(Invariant::invalid_request_refused, defect);
 }
 
-void InvariantChecker::told(const std::string& id, int status, const std::string& state,
-                            bool poll) {
-  const bool known = jobs_.contains(id);
-  if (status == 404 && accepted_.contains(id)) breach("forgotten", id + " got 404");
-  if ((status == 400 || status == 422) && !poll && accepted_.contains(id))
-    breach("forgotten", id + " refused when repeated");
-  if (status != 200 && status != 201) return;
-  if (!known) return breach("invented", id);
-  accepted_.insert(id);
-  answered_[id] = queue_.now();
-  if (state == "done" && completed_[id].size() < jobs_.at(id).tasks) breach("not_done", id);
-  if (done_.contains(id) && state != "done") breach("went_back", id + " done then " + state);
-  if (cancelled_told_.contains(id) && state != "aborted")
-    breach("went_back", id + " cancelled then " + state);
-  if (state == "done") done_.insert(id);
+void InvariantChecker::check_cancelled_jobs() {
+  for (const auto& [task, hosts] : hosts_) {
+    const auto cancelled = cancelled_at_.find(task.first);
+    if (cancelled != cancelled_at_.end() &&
+        queue_.now() > cancelled->second + cancel_timeout_s_ + check_tolerance_s)
+      record_violation(Invariant::cancellation_deadline,
+                       task.first + " still on " + hosts.begin()->first);
+  }
 }
 
-void InvariantChecker::told_cancelled(const std::string& id) {
-  cancelled_told_.emplace(id, queue_.now());
+bool InvariantChecker::is_waiting_within_quota(const std::string& job) const {
+  const auto& spec = jobs_.at(job);
+  const auto completed = completed_.find(job);
+  if (cancelled_at_.contains(job) || has_task_on_machine(job) ||
+      (completed != completed_.end() && completed->second.size() == spec.tasks))
+    return false;
+  const auto quota = team_quotas_.find(spec.team);
+  if (quota == team_quotas_.end() || quota->second == 0) return true;
+  const auto usage = team_usage_.find(spec.team);
+  const std::int64_t needed =
+      spec.each.cpus * (spec.kind == protocol::JobKind::gang ? spec.tasks : 1);
+  return (usage == team_usage_.end() ? 0 : usage->second) + needed <= quota->second;
 }
 
-void InvariantChecker::sweep() {
-  for (const auto& [task, places] : on_) {
-    const auto told = cancelled_told_.find(task.first);
-    if (told != cancelled_told_.end() && queue_.now() > told->second + cancel_s_ + sweep_slack_s)
-      breach("ran_cancelled", task.first + " still on " + places.begin()->first);
+void InvariantChecker::check_waiting_job(const std::string& job, const std::string& machine) {
+  if (machine.empty()) {
+    waiting_since_.erase(job);
+    return;
   }
+  const double since = waiting_since_.emplace(job, queue_.now()).first->second;
+  if (queue_.now() - std::max(since, faults_until_) <= max_waiting_s) return;
+  record_violation(Invariant::work_conserving,
+                   std::string(job).append(" waits beside room on ").append(machine));
+  waiting_since_[job] = queue_.now();
 }
 
-void InvariantChecker::judge_service() {
-  const double now = queue_.now();
-  for (const auto& id : accepted_) {
-    // Nobody can be silent about a job that nobody asks about.
-    const double since = std::max(answered_[id], troubles_until_);
-    if (asked_[id] > since && now - since > unanswered_s) breach("forgotten", id + " unanswered");
-  }
+void InvariantChecker::check_final_service() {
+  check_answered();
   std::map<std::string, std::vector<std::string>> groups;
-  for (const auto& [id, spec] : jobs_) {
-    if (cancelled_told_.contains(id) || now - submitted_[id] < largest_begin_s) continue;
-    groups["class " + spec.job_class].push_back(id);
-    groups["team " + spec.team].push_back(id);
+  for (const auto& [job, spec] : jobs_) {
+    if (cancelled_at_.contains(job) || queue_.now() - submitted_at_[job] < largest_start_s)
+      continue;
+    groups["class " + spec.job_class].push_back(job);
+    groups["team " + spec.team].push_back(job);
+  }
+  for (const auto& [name, jobs] : groups) {
+    check_group_served(name, jobs);
+    if (name.starts_with("class")) check_largest_served(name, jobs);
   }
-  for (auto& [name, ids] : groups) {
-    const auto began =
-        std::count_if(ids.begin(), ids.end(), [&](const auto& id) { return began_.contains(id); });
-    if (2 * static_cast<std::size_t>(began) < ids.size()) breach("unserved", name);
-    if (!name.starts_with("class")) continue;
-    std::sort(ids.begin(), ids.end(),
-              [&](const auto& a, const auto& b) { return jobs_[a].tasks > jobs_[b].tasks; });
-    ids.resize(std::max<std::size_t>(
-        1, static_cast<std::size_t>(largest_share * static_cast<double>(ids.size()))));
-    const auto in_time = std::count_if(ids.begin(), ids.end(), [&](const auto& id) {
-      return began_.contains(id) && began_[id] - submitted_[id] <= largest_begin_s;
-    });
-    if (2 * static_cast<std::size_t>(in_time) < ids.size())
-      breach("unserved", "largest of " + name);
+}
+
+void InvariantChecker::check_answered() {
+  for (const auto& job : accepted_) {
+    // Only who asks can miss an answer.
+    const double since = std::max(last_answered_[job], faults_until_);
+    if (queried_[job] > since && queue_.now() - since > max_unanswered_s)
+      record_violation(Invariant::accepted_job_durable, job + " unanswered");
   }
 }
 
-std::size_t InvariantChecker::on_now(const std::string& job_class) const {
-  return static_cast<std::size_t>(std::count_if(on_.begin(), on_.end(), [&](const auto& each) {
-    return jobs_.at(each.first.first).job_class == job_class;
-  }));
+void InvariantChecker::check_group_served(const std::string& name,
+                                          const std::vector<std::string>& jobs) {
+  const auto started = std::count_if(
+      jobs.begin(), jobs.end(), [&](const auto& job) { return first_started_at_.contains(job); });
+  if (2 * static_cast<std::size_t>(started) < jobs.size())
+    record_violation(Invariant::fair_service, name);
+}
+
+void InvariantChecker::check_largest_served(const std::string& name,
+                                            std::vector<std::string> jobs) {
+  std::sort(jobs.begin(), jobs.end(),
+            [&](const auto& a, const auto& b) { return jobs_[a].tasks > jobs_[b].tasks; });
+  jobs.resize(std::max<std::size_t>(
+      1, static_cast<std::size_t>(largest_share * static_cast<double>(jobs.size()))));
+  const auto in_time = std::count_if(jobs.begin(), jobs.end(), [&](const auto& job) {
+    return first_started_at_.contains(job) &&
+           first_started_at_[job] - submitted_at_[job] <= largest_start_s;
+  });
+  if (2 * static_cast<std::size_t>(in_time) < jobs.size())
+    record_violation(Invariant::fair_service, "largest of " + name);
+}
+
+std::size_t InvariantChecker::running_tasks(const std::string& job_class) const {
+  return static_cast<std::size_t>(std::count_if(
+      hosts_.begin(), hosts_.end(),
+      [&](const auto& each) { return jobs_.at(each.first.first).job_class == job_class; }));
 }
 
 }  // namespace poppystile::simulation
--- a/tests/simulation/invariant_checker.hpp
+++ b/tests/simulation/invariant_checker.hpp
@@ -1,10 +1,14 @@
-// The rules of PROTOCOL, checked at every step of the world.
+/// \file
+/// The invariants of PROTOCOL, checked at every step of a simulation.
 #pragma once
 
+#include <algorithm>
+#include <cstdint>
 #include <functional>
 #include <map>
 #include <set>
 #include <string>
+#include <utility>
 #include <vector>
 
 #include "protocol/submission.hpp"
@@ -12,95 +16,139 @@
 
 namespace poppystile::simulation {
 
-struct Place {
+/// What placement constraints look at in a machine.
+struct HostMachine {
   std::string machine;
   std::string type;
   std::string zone;
   bool spot = false;
 };
 
+/// What must hold in every simulation.
+enum class Invariant {
+  at_most_one_copy,        ///< a task is on one machine at a time
+  placement_constraints,   ///< zones, machine types and spot as the job asks
+  team_quota,              ///< no team uses more than its limit
+  cancellation_deadline,   ///< a cancelled job is off all machines in time
+  accepted_job_durable,    ///< an accepted job stays known, and gets answers
+  only_submitted_jobs,     ///< no job is reported that nobody submitted
+  done_means_completed,    ///< a job is done only when all its tasks are
+  terminal_state_final,    ///< a done or cancelled job stays that
+  work_conserving,         ///< no job waits for long beside room that fits it
+  fair_service,            ///< no class, team or class's largest jobs are left out
+  invalid_request_refused  ///< a request that is wrong is not accepted
+};
+
+/// The name of the invariant as reports show it.
+const char* name_of(Invariant invariant);
+
+/// What a user's request asked for.
+enum class RequestKind { submission, query, cancellation };
+
+/// Knows the true state of all tasks and what users were told, and records every violation.
 class InvariantChecker {
  public:
-  InvariantChecker(EventQueue& queue, double cancel_s) : queue_(queue), cancel_s_(cancel_s) {}
+  InvariantChecker(EventQueue& queue, Seconds cancel_timeout)
+      : queue_(queue), cancel_timeout_s_(cancel_timeout.count()) {}
 
-  void team(const std::string& name, std::int64_t cpus_max) { limits_[name] = cpus_max; }
-  void submitted(const protocol::JobSpec& job) {
-    jobs_[job.id] = job;
-    submitted_[job.id] = queue_.now();
+  // Jobs.
+
+  /// `max_millicores`: zero for no limit.
+  void set_team_quota(const std::string& team, std::int64_t max_millicores) {
+    team_quotas_[team] = max_millicores;
   }
-  // Submitted with a mistake: it fails on every machine.
-  void mistaken(const std::string& id) { mistaken_.insert(id); }
-  bool is_mistaken(const std::string& id) const { return mistaken_.contains(id); }
-  std::uint64_t mistaken_starts() const { return mistaken_starts_; }
-  const protocol::JobSpec* job(const std::string& id) const;
-  // Told when a job's last task has completed.
-  void on_last_task(std::function<void(const std::string&)> handler) {
-    on_last_task_ = std::move(handler);
+  void record_submission(const protocol::JobSpec& job);
+  /// Every task of this job fails, wherever it runs.
+  void mark_failing(const std::string& job) { failing_jobs_.insert(job); }
+  bool is_failing(const std::string& job) const { return failing_jobs_.contains(job); }
+  /// Null when the job was never submitted.
+  const protocol::JobSpec* find_job(const std::string& job) const;
+  /// `handler` runs when a job's last task has completed. Replaces an earlier one.
+  void on_job_completed(std::function<void(const std::string&)> handler) {
+    on_job_completed_ = std::move(handler);
   }
-  // Where a job's tasks are.
-  std::set<std::string> machines_of(const std::string& id) const;
-  bool is_on_a_machine(const std::string& id) const;
-
-  // What happens on machines.
-  void on_machine(const std::string& job, std::uint32_t index, const Place& place);
-  void off_machine(const std::string& job, std::uint32_t index, const std::string& machine);
-  void completed(const std::string& job, std::uint32_t index);
-  bool is_completed(const std::string& job, std::uint32_t index) const;
-  // What users are told.
-  void told(const std::string& job, int status, const std::string& state, bool poll);
-  void told_cancelled(const std::string& job);
-  void asked(const std::string& job) { asked_[job] = queue_.now(); }
-  // A request that must be refused was accepted.
-  void wrongly_accepted(const std::string& what) { breach("wrongly_accepted", what); }
-  // When the last trouble is over: from then on every accepted job must get answers.
-  void troubles_until(double time) { troubles_until_ = std::max(troubles_until_, time); }
-  // Called now and then.
-  void sweep();
-  // Whether a job waits with none of its tasks on a machine, and its team may have one more.
-  bool waits_within_limit(const std::string& id) const;
+
+  // Events on machines.
+
+  void record_task_placed(const std::string& job, std::uint32_t index, const HostMachine& host);
+  void record_task_removed(const std::string& job, std::uint32_t index, const std::string& machine);
+  void record_task_completed(const std::string& job, std::uint32_t index);
+  bool is_task_completed(const std::string& job, std::uint32_t index) const;
+  /// The machines that tasks of the job are on.
+  std::set<std::string> machines_of(const std::string& job) const;
+
+  // Users' requests and the responses.
+
+  void record_query(const std::string& job) { queried_[job] = queue_.now(); }
+  /// `state`: of the job as the response says it; empty when the response has none.
+  void record_response(const std::string& job, int status, const std::string& state,
+                       RequestKind kind);
+  void record_cancellation_confirmed(const std::string& job);
+  void record_invalid_submission_accepted(const std::string& defect);
   const std::set<std::string>& accepted() const { return accepted_; }
-  // Called now and then, for every accepted job: beside which machine it waits with room for it;
-  // empty when it does not.
-  void waits(const std::string& id, const std::string& beside);
-  // Called at the end: what was served too little.
-  void judge_service();
 
-  const std::vector<std::string>& broken() const { return broken_; }
+  // Periodic checks.
+
+  /// Faults last at least until this simulated time; responses and service are due after them.
+  void expect_faults_until(double time) { faults_until_ = std::max(faults_until_, time); }
+  void check_cancelled_jobs();
+  /// Whether no task of the job is on a machine, some are left, and its team may have one more.
+  bool is_waiting_within_quota(const std::string& job) const;
+  /// To be called about once a second for every accepted job: `machine` has room for the job, which
+  /// waits; empty when the job does not wait or finds no room.
+  void check_waiting_job(const std::string& job, const std::string& machine);
+  /// To be called once, at the end: whether all jobs got answers, and all groups service.
+  void check_final_service();
+
+  // Results.
+
+  /// One line for each violation: time, invariant, details.
+  const std::vector<std::string>& violations() const { return violations_; }
   std::uint64_t starts() const { return starts_; }
-  // Starts of tasks whose user had been told long before that the job is cancelled.
-  std::uint64_t cancelled_starts() const { return cancelled_starts_; }
+  std::uint64_t failing_job_starts() const { return failing_job_starts_; }
+  /// Starts of tasks long after the cancellation of their job was confirmed.
+  std::uint64_t starts_after_cancellation() const { return starts_after_cancellation_; }
   std::size_t done_jobs() const { return done_.size(); }
   std::size_t accepted_jobs() const { return accepted_.size(); }
-  std::size_t cancelled_jobs() const { return cancelled_told_.size(); }
-  std::size_t on_now(const std::string& job_class) const;
+  std::size_t cancelled_jobs() const { return cancelled_at_.size(); }
+  /// Tasks of this class that are on machines now.
+  std::size_t running_tasks(const std::string& job_class) const;
 
  private:
-  void check_zones(const protocol::JobSpec& spec, std::uint32_t index, const Place& place);
   using Task = std::pair<std::string, std::uint32_t>;
-  void breach(const std::string& rule, const std::string& detail);
+
+  void record_violation(Invariant invariant, const std::string& detail);
+  void check_placement(const protocol::JobSpec& spec, std::uint32_t index, const HostMachine& host);
+  void check_zones(const protocol::JobSpec& spec, std::uint32_t index, const HostMachine& host);
+  void check_start_of_cancelled(const std::string& job, const std::string& task_on_machine);
+  bool has_task_on_machine(const std::string& job) const;
+  void check_answered();
+  void check_group_served(const std::string& name, const std::vector<std::string>& jobs);
+  void check_largest_served(const std::string& name, std::vector<std::string> jobs);
 
   EventQueue& queue_;
-  double cancel_s_;
-  std::map<std::string, std::int64_t> limits_;
+  double cancel_timeout_s_;
+  std::map<std::string, std::int64_t> team_quotas_;  // millicores
+  std::map<std::string, std::int64_t> team_usage_;   // millicores
   std::map<std::string, protocol::JobSpec> jobs_;
-  std::map<Task, std::map<std::string, Place>> on_;
-  std::map<std::string, std::int64_t> team_cpus_;
+  std::map<Task, std::map<std::string, HostMachine>> hosts_;  // by task and machine
   std::map<std::string, std::set<std::uint32_t>> completed_;
   std::set<std::string> accepted_;
   std::set<std::string> done_;
-  std::map<std::string, double> cancelled_told_;
-  std::map<std::string, double> answered_;  // newest answer about a job
-  std::map<std::string, double> asked_;     // newest question
-  std::map<std::string, double> submitted_;
-  std::map<std::string, double> began_;        // a job's first start
-  std::map<std::string, double> waits_since_;  // beside room
-  std::function<void(const std::string&)> on_last_task_;
-  double troubles_until_ = 0;
-  std::vector<std::string> broken_;
+  std::set<std::string> failing_jobs_;
+  // Simulated times, by job.
+  std::map<std::string, double> submitted_at_;
+  std::map<std::string, double> first_started_at_;
+  std::map<std::string, double> cancelled_at_;  // when the user was told
+  std::map<std::string, double> last_answered_;
+  std::map<std::string, double> queried_;        // newest query
+  std::map<std::string, double> waiting_since_;  // beside room
+  std::function<void(const std::string&)> on_job_completed_;
+  double faults_until_ = 0;
+  std::vector<std::string> violations_;
   std::uint64_t starts_ = 0;
-  std::uint64_t cancelled_starts_ = 0;
-  std::set<std::string> mistaken_;
-  std::uint64_t mistaken_starts_ = 0;
+  std::uint64_t starts_after_cancellation_ = 0;
+  std::uint64_t failing_job_starts_ = 0;
 };
 
 }  // namespace poppystile::simulation
--- /dev/null
+++ b/tests/simulation/load_generator.hpp
@@ -0,0 +1,30 @@
+/// \file
+/// Makes the jobs of a scenario's `load` statements and has the users submit them.
+#pragma once
+
+#include "protocol/submission.hpp"
+#include "simulation/scenario_file.hpp"
+#include "simulation/simulation.hpp"
+
+namespace poppystile::simulation {
+
+/// Schedules submissions; all loads of a scenario share one sequence of job ids.
+class LoadGenerator {
+ public:
+  /// `until`: simulated time at which loads end that name no end.
+  LoadGenerator(Simulation& simulation, double until) : simulation_(simulation), until_(until) {}
+
+  /// Queues all submissions of one `load` statement.
+  void schedule(const Statement& load);
+
+ private:
+  void submit(const Statement& load);
+  protocol::JobSpec make_job(const Statement& load);
+  std::string next_job_id();
+
+  Simulation& simulation_;
+  double until_;
+  int jobs_ = 0;
+};
+
+}  // namespace poppystile::simulation
--- a/tests/simulation/run_scenario.cpp
+++ b/tests/simulation/run_scenario.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Plays one scenario file (see world/scenario.hpp) in the simulated world, once for each of its
-/// seeds. Exit 0: every rule was kept and every expectation met.
+/// Plays one scenario file (see simulation/scenario.hpp), once for each of its seeds. Exit 0: every
+/// invariant held and every expectation was met; 1: not so; 2: the file cannot be played.
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
 
@@ -16,8 +16,8 @@
 bool play_all_seeds(const std::string& path) {
   bool passed = true;
   int seeds = 1;
-  for (int turn = 0; turn < seeds; ++turn) {
-    poppystile::simulation::Scenario scenario(path, turn);
+  for (int seed_index = 0; seed_index < seeds; ++seed_index) {
+    poppystile::simulation::Scenario scenario(path, seed_index);
     seeds = scenario.seeds();
     passed = scenario.play() && passed;
   }
--- a/tests/simulation/scenario.hpp
+++ b/tests/simulation/scenario.hpp
@@ -1,77 +1,61 @@
 /// \file
-/// One scenario: sets up the simulated world as its file says, plays it, and judges it.
+/// One scenario: sets up a simulation as its file says, plays it, and checks the result.
 ///
-///   world KEY=VALUE...            seed, seeds (how many, one after the other), until, nodes,
-///                                 heartbeat_interval_s, lease_s, cancel_s, rps, write_rps,
-///                                 txn_ops, lose_answers, list_lag_s; gang_wait_s, gang_peer_s,
-///                                 next_value_kb, next_txn_ops and
-///                                 next_write_rps: limits that `lower_limits` puts into force
+///   simulation KEY=VALUE...       seed, seeds (how many, one after the other), until, controllers,
+///                                 heartbeat_interval, worker_lease, cancel_timeout, state_rps,
+///                                 state_write_rps, txn_ops, lost_state_responses, list_lag,
+///                                 gang_start_timeout, gang_peer_timeout; next_value_kb,
+///                                 next_txn_ops, next_write_rps: limits that `lower_limits` puts
+///                                 into force
 ///   type NAME KEY=VALUE...        cpus, memory, price, spot_price, boot, zones, count, spot,
 ///                                 fetch, cache
 ///   team NAME cpus= cpus_max=
-///   load CLASS KEY=VALUE...       kind, team, priority, first, every, until, tasks, run, cpus,
-///                                 memory, images, gb, spot, one_zone, spread, zone, deadline,
-///                                 checkpoint, save, mistaken
-///   at SECONDS ACTION KEY=VALUE...    times=N every=SECONDS: more than once
-///   expect NAME OP NUMBER         started, accepted, done, cancelled, on:CLASS, state_refused,
-///                                 state_requests, state_changes, state_invalid, lapses,
-///                                 gangs_begun, gangs_saved, gangs_failed, gangs_incomplete,
-///                                 stale_releases, max_unacknowledged_starts, cancelled_starts,
-///                                 mistaken_starts, machine_seconds; OP is >= or <=
+///   load CLASS KEY=VALUE...       kind, team, priority, first, every, from, until, tasks, run,
+///                                 cpus, memory, images, image_gb, spot, one_zone, spread, zone,
+///                                 deadline, checkpoint, save, failing
+///   at SECONDS ACTION KEY=VALUE...    times=N every=SECONDS: more than once; the actions are in
+///                                 scenario_actions.cpp
+///   expect NAME OP NUMBER         the names are in scenario_expectations.cpp; OP is >= or <=
 ///
-/// A node is any, leader, follower, others (all but the leader, for cuts), all (for crashes) or a
-/// number. Once the last fault is over, every accepted job must get answers again, and none may
-/// wait beside room that fits it; and no class, team or class's largest jobs may be left out.
+/// All times are in seconds. A controller is any, leader, follower, others (all but the leader, for
+/// partitions), all (for crashes) or a number. Once the last fault is over, every accepted job must
+/// get answers again, and none may wait beside room that fits it; and no class, team or class's
+/// largest jobs may be left out.
 #pragma once
 
-#include <functional>
-#include <map>
 #include <memory>
 #include <string>
 #include <vector>
 
+#include "simulation/load_generator.hpp"
 #include "simulation/scenario_file.hpp"
 #include "simulation/simulation.hpp"
 
 namespace poppystile::simulation {
 
+/// A scenario file with one of its seeds.
 class Scenario {
  public:
-  /// `turn`: of several seeds, the one that many after the first.
-  Scenario(const std::string& path, int turn);
+  /// `seed_index`: the seed is so many above the file's. Throws std::runtime_error when the file
+  /// cannot be read.
+  Scenario(const std::string& path, int seed_index);
 
   /// How many seeds the file asks for.
   int seeds() const { return seeds_; }
-  /// Plays and prints what was broken or not met; true when nothing was.
+  /// Plays the scenario, and prints violations and expectations that were not met. True when there
+  /// were none. To be called once. Throws std::runtime_error for an unknown action or expectation.
   bool play();
 
  private:
-  using Action = std::function<void(Scenario&, const Statement&)>;
-  using Count = std::function<double(Scenario&)>;
-  static const std::map<std::string, Action>& actions();
-  static const std::map<std::string, Count>& counts();
-  static std::map<std::string, Action> controller_actions();
-  static std::map<std::string, Action> machine_actions();
-  static std::map<std::string, Action> service_actions();
-  static std::map<std::string, Action> user_actions();
-
-  void read_world(const Statement& statement, SimulationSettings& out);
-  void add_type(const Statement& statement);
-  void add_load(const Statement& statement);
-  void add_action(const Statement& statement);
-  void act(const Statement& statement);
-  void submit(const Statement& load);
-  protocol::JobSpec make_job(const Statement& load);
-  void crash(const Statement& statement);
-  void cut(const Statement& statement);
-  void cancel_or_resubmit(const Statement& statement);
-  bool met(const Statement& expectation);
+  void add_machine_type(const Statement& statement);
+  void schedule_action(const Statement& statement);
+  bool check_expectation(const Statement& expectation);
 
   std::vector<Statement> statements_;
-  std::unique_ptr<Simulation> world_;
-  double until_ = 200;
+  double until_ = 0;  // simulated time
   int seeds_ = 1;
-  int jobs_ = 0;
+  std::unique_ptr<Simulation> simulation_;
+  std::unique_ptr<LoadGenerator> loads_;
 };
 
 }  // namespace poppystile::simulation
--- /dev/null
+++ b/tests/simulation/scenario_actions.hpp
@@ -0,0 +1,13 @@
+/// \file
+/// What the `at` statements of a scenario do: faults, and users' requests.
+#pragma once
+
+#include "simulation/scenario_file.hpp"
+#include "simulation/simulation.hpp"
+
+namespace poppystile::simulation {
+
+/// Performs the action of an `at` statement now. Throws std::runtime_error for an unknown one.
+void perform_action(Simulation& simulation, const Statement& statement);
+
+}  // namespace poppystile::simulation
--- a/tests/simulation/scenario_file.cpp
+++ b/tests/simulation/scenario_file.cpp
@@ -20,10 +20,10 @@
   return static_cast<int>(number(key, otherwise));
 }
 
-std::vector<std::string> split(const std::string& text, char at) {
+std::vector<std::string> split(const std::string& text, char separator) {
   std::vector<std::string> out;
   std::stringstream rest(text);
-  for (std::string part; std::getline(rest, part, at);) out.push_back(part);
+  for (std::string part; std::getline(rest, part, separator);) out.push_back(part);
   return out;
 }
 
--- a/tests/simulation/scenario_file.hpp
+++ b/tests/simulation/scenario_file.hpp
@@ -7,6 +7,8 @@
 #include <string>
 #include <vector>
 
+#include "clock.hpp"
+
 namespace poppystile::simulation {
 
 /// One statement of a scenario file.
@@ -15,15 +17,21 @@
   std::vector<std::string> words;
   std::map<std::string, std::string> values;
 
+  /// The value of the key, or `otherwise` if the statement does not have it.
   std::string text(const std::string& key, const std::string& otherwise) const;
   double number(const std::string& key, double otherwise) const;
   int count(const std::string& key, int otherwise) const;
+  Seconds seconds(const std::string& key, double otherwise) const {
+    return Seconds{number(key, otherwise)};
+  }
+  /// Whether the value of the key is "true".
   bool flag(const std::string& key) const { return text(key, "false") == "true"; }
 };
 
-/// Throws std::runtime_error when the file cannot be read.
+/// Reads all statements of a file. Throws std::runtime_error when it cannot be read.
 std::vector<Statement> read_scenario_file(const std::string& path);
 
-std::vector<std::string> split(const std::string& text, char at);
+/// The parts of `text` between separators.
+std::vector<std::string> split(const std::string& text, char separator);
 
 }  // namespace poppystile::simulation
--- a/tests/simulation/state_service.hpp
+++ b/tests/simulation/state_service.hpp
@@ -1,11 +1,14 @@
-// Stand-in for the state service, after PROTOCOL: revisions, conditions, grants, watches, limits.
+/// \file
+/// Simulated state service, after PROTOCOL: revisions, conditions, leases, watches, limits.
 #pragma once
 
+#include <cstddef>
+#include <cstdint>
 #include <deque>
 #include <functional>
 #include <map>
+#include <memory>
 #include <optional>
-#include <set>
 #include <string>
 #include <vector>
 
@@ -15,20 +18,29 @@
 
 namespace poppystile::simulation {
 
+/// A key-value store with compare-and-swap transactions, leases that delete their keys when they
+/// expire, and long-polling watches.
 class StateService {
  public:
-  using Reply = std::function<void(transport::HttpResponse)>;
+  using OnResponse = std::function<void(transport::HttpResponse)>;
+
+  /// Takes so many requests and so many written keys a second, and so many changes a transaction.
   StateService(EventQueue& queue, double rps, double write_rps, int txn_ops);
 
-  void handle(const transport::HttpRequest& request, const Reply& reply);
+  /// Handles one request. `respond` runs at once, but for watches, which wait for a change.
+  void handle(const transport::HttpRequest& request, const OnResponse& respond);
+  /// While down, every request gets a 503. Afterwards each lease has its full time again.
   void set_down(bool down);
-  // From now on; what is stored stays.
+  /// Holds for requests from now on; what is stored stays.
   void set_limits(double write_rps, int txn_ops, double value_kb);
   bool has(const std::string& key) const { return items_.contains(key); }
+  /// Requests refused with 429, since they exceeded a rate.
   std::uint64_t refused() const { return refused_; }
-  // Requests that were answered with 400.
+  /// Transactions refused with 400, since they exceeded a size.
   std::uint64_t invalid() const { return invalid_; }
+  /// Requests that were not refused for their rate.
   std::uint64_t requests() const { return requests_; }
+  /// Writes and removals in transactions, those included that were not carried out.
   std::uint64_t changes() const { return changes_; }
 
  private:
@@ -45,45 +57,50 @@
   };
   struct Lease {
     double ttl_s = 0;
-    double until = 0;
+    double expires_at = 0;  // simulated time
+  };
+  struct TokenBucket {
+    double tokens = 0;
+    double filled_at = 0;  // simulated time
   };
   struct Watch {
     std::string prefix;
-    std::uint64_t from = 0;
-    Reply reply;
+    std::uint64_t after_revision = 0;
+    OnResponse respond;
     bool answered = false;
   };
 
-  bool spend(double& left, double& at, double rate, double amount);
-  void compare_and_swap(const std::string& body, const Reply& reply);
-  bool record_too_large(const std::string& body, const Json& when, const Json& apply) const;
+  bool take_tokens(TokenBucket& bucket, double rate, double amount);
+  void compare_and_swap(const std::string& body, const OnResponse& respond);
+  bool is_too_large(const std::string& body, const Json& when, const Json& apply) const;
   void put(const std::string& key, const Json& value, std::uint64_t lease);
   void erase(const std::string& key);
-  void list(const std::map<std::string, std::string>& query, const Reply& reply);
-  void watch(const std::map<std::string, std::string>& query, const Reply& reply);
-  bool answer(Watch& watch, bool even_empty);
-  void grant(const transport::HttpRequest& request, const Reply& reply);
-  void check_lease(std::uint64_t id);
-  void wake();
+  void list(const std::map<std::string, std::string>& query, const OnResponse& respond);
+  void watch(const std::map<std::string, std::string>& query, const OnResponse& respond);
+  bool answer_watch(Watch& watch, bool even_empty);
+  void answer_watches();
+  void handle_lease(const transport::HttpRequest& request, const OnResponse& respond);
+  void schedule_expiry(std::uint64_t id);
+  void expire_if_due(std::uint64_t id);
 
   EventQueue& queue_;
   double rps_, write_rps_;
   int txn_ops_;
   std::size_t max_value_bytes_ = std::size_t{8} * 1024;
   std::uint64_t invalid_ = 0;
-  double requests_left_, requests_at_ = 0;
-  double writes_left_, writes_at_ = 0;
+  TokenBucket request_bucket_;
+  TokenBucket write_bucket_;
   bool down_ = false;
   std::uint64_t revision_ = 0;
-  std::uint64_t leases_made_ = 0;
+  std::uint64_t last_lease_ = 0;
   std::uint64_t refused_ = 0, requests_ = 0, changes_ = 0;
   std::map<std::string, Item> items_;
   std::map<std::uint64_t, Lease> leases_;
-  std::deque<Change> log_;
+  std::deque<Change> changes_log_;
   std::vector<std::shared_ptr<Watch>> watches_;
 };
 
-// "path?a=1&b=2"
+/// The parameters of a request's target, as in "path?a=1&b=2".
 std::map<std::string, std::string> query_of(const std::string& target);
 
 }  // namespace poppystile::simulation
--- a/tests/unit/job_api_test.cpp
+++ b/tests/unit/job_api_test.cpp
@@ -132,7 +132,7 @@
   ASSERT_EQ(submit(job()).status, 201);
   const auto ask = [&](double slow_s) {
     HttpResponse got;
-    caller.answer_delay_s = slow_s;
+    caller.response_delay = Seconds{slow_s};
     desk.show("req-000412", [&](HttpResponse response) { got = std::move(response); });
     queue.run_until(queue.now() + 3);
     return got;
--- a/tests/unit/journal_writer_test.cpp
+++ b/tests/unit/journal_writer_test.cpp
@@ -133,7 +133,7 @@
 // would have to give up.
 TEST_F(JournalDeskTest, ALateTransactionOfAFormerLeaderChangesNothing) {
   Life& former = begin();
-  former.hold_journal_s = 12;
+  former.journal_write_delay = Seconds{12};
   former.append(storage::MachineRegistered{"n-1", "g", "a", false, 0, wall_at(0)});
   former.journal->pump();
   Life& life = begin();
@@ -150,7 +150,7 @@
 // keys in their conditions, an old head or segment would replace a newer one.
 TEST_F(JournalDeskTest, RepeatedTransactionsChangeNothing) {
   Life& life = begin();
-  life.repeat_after_s = 55;
+  life.journal_duplicate_delay = Seconds{55};
   std::uint64_t made = 0;
   std::map<std::string, std::uint64_t> durable;
   std::deque<std::tuple<std::uint64_t, std::string, std::uint64_t>> marks;
