--- a/tests/simulation/fake_http_caller.hpp
+++ b/tests/simulation/fake_http_caller.hpp
@@ -53,11 +53,11 @@
       });
     const Seconds added = is_journal_write ? journal_write_delay : Seconds{0};
     queue_.after(added + queue_.uniform(min_latency, max_latency),
-                 [&queue = queue_, &service = service_, lost = lost_responses_,
+                 [&queue = queue_, &service = service_, loss_share = lost_responses_,
                   delay = response_delay, request, settle] {
-                   service.handle(request, [&queue, lost, delay,
+                   service.handle(request, [&queue, loss_share, delay,
                                             settle](const transport::HttpResponse& response) {
-                     if (!queue.chance(lost))
+                     if (!queue.chance(loss_share))
                        queue.after(delay, [settle, response] { settle(response); });
                    });
                  });
