--- a/tests/simulation/event_queue.hpp
+++ b/tests/simulation/event_queue.hpp
@@ -54,7 +54,7 @@
 };
 
 /// Sets `target` to `value` for this long, and then back to what it was. `target` must outlive the
-/// queue, and spells on the same target must neither overlap nor touch.
+/// queue, and intervals on the same target must neither overlap nor touch.
 template <typename T>
 void set_temporarily(EventQueue& queue, T& target, T value, Seconds duration) {
   queue.after(duration,
--- a/tests/simulation/fault_injector.hpp
+++ b/tests/simulation/fault_injector.hpp
@@ -16,7 +16,7 @@
 
 namespace poppystile::simulation {
 
-/// The faults of a simulation. A fault with a `duration` begins at once; spells of the same kind
+/// The faults of a simulation. A fault with a `duration` begins at once; intervals of the same kind
 /// must neither overlap nor touch, since the end of one would undo the next.
 class FaultInjector {
  public:
--- a/tests/simulation/invariant_checker.cpp
+++ b/tests/simulation/invariant_checker.cpp
@@ -230,7 +230,7 @@
 
 void InvariantChecker::check_answered() {
   for (const auto& job : accepted_) {
-    // Only who asks can miss an answer.
+    // Without a query no response is due.
     const double since = std::max(last_answered_[job], faults_until_);
     if (queried_[job] > since && queue_.now() - since > max_unanswered_s)
       record_violation(Invariant::accepted_job_durable, job + " unanswered");
--- a/tests/simulation/invariant_checker.hpp
+++ b/tests/simulation/invariant_checker.hpp
@@ -16,7 +16,7 @@
 
 namespace poppystile::simulation {
 
-/// What placement constraints look at in a machine.
+/// The properties of a machine that placement constraints refer to.
 struct HostMachine {
   std::string machine;
   std::string type;
@@ -30,7 +30,7 @@
   placement_constraints,   ///< zones, machine types and spot as the job asks
   team_quota,              ///< no team uses more than its limit
   cancellation_deadline,   ///< a cancelled job is off all machines in time
-  accepted_job_durable,    ///< an accepted job stays known, and gets answers
+  accepted_job_durable,    ///< an accepted job stays known, and gets responses
   only_submitted_jobs,     ///< no job is reported that nobody submitted
   done_means_completed,    ///< a job is done only when all its tasks are
   terminal_state_final,    ///< a done or cancelled job stays that
@@ -45,7 +45,7 @@
 /// What a user's request asked for.
 enum class RequestKind { submission, query, cancellation };
 
-/// Knows the true state of all tasks and what users were told, and records every violation.
+/// Knows the true state of all tasks and what users were informed of, and records every violation.
 class InvariantChecker {
  public:
   InvariantChecker(EventQueue& queue, Seconds cancel_timeout)
@@ -97,7 +97,7 @@
   /// To be called about once a second for every accepted job: `machine` has room for the job, which
   /// waits; empty when the job does not wait or finds no room.
   void check_waiting_job(const std::string& job, const std::string& machine);
-  /// To be called once, at the end: whether all jobs got answers, and all groups service.
+  /// To be called once, at the end: whether all queries got responses, and all groups service.
   void check_final_service();
 
   // Results.
@@ -139,7 +139,7 @@
   // Simulated times, by job.
   std::map<std::string, double> submitted_at_;
   std::map<std::string, double> first_started_at_;
-  std::map<std::string, double> cancelled_at_;  // when the user was told
+  std::map<std::string, double> cancelled_at_;  // when the user got the confirmation
   std::map<std::string, double> last_answered_;
   std::map<std::string, double> queried_;        // newest query
   std::map<std::string, double> waiting_since_;  // beside room
--- a/tests/simulation/scenario.hpp
+++ b/tests/simulation/scenario.hpp
@@ -19,7 +19,7 @@
 ///
 /// All times are in seconds. A controller is any, leader, follower, others (all but the leader, for
 /// partitions), all (for crashes) or a number. Once the last fault is over, every accepted job must
-/// get answers again, and none may wait beside room that fits it; and no class, team or class's
+/// get responses again, and none may wait beside room that fits it; and no class, team or class's
 /// largest jobs may be left out.
 #pragma once
 
--- a/tests/simulation/simulated_users.hpp
+++ b/tests/simulation/simulated_users.hpp
@@ -28,7 +28,7 @@
   void submit(const protocol::JobSpec& job);
   /// Submits a known job again.
   void resubmit(const std::string& job);
-  /// Cancels the job; asks again until it gets an answer.
+  /// Cancels the job; asks again until it gets a response.
   void cancel(const std::string& job);
   /// Asks for a job that was never submitted.
   void query_unknown(const std::string& job);
