--- a/src/constants.hpp
+++ b/src/constants.hpp
@@ -38,22 +38,22 @@
 inline constexpr std::chrono::seconds log_repeat_window{5};
 
 // --- state service ---
-// seconds without an answer of the state service after which a node counts as cut off from it:
+// seconds without a response of the state service after which a controller counts as cut off:
 // longer than a call may take.
 inline constexpr Seconds state_contact_stale_after{3.0};
 // seconds before a user's change that was refused for its rate is offered again: a twentieth of a
 // second's rate is back by then.
 inline constexpr Seconds throttle_pause{0.05};
-// seconds; answers usually take 10 ms and now and then a few hundred.
+// seconds; responses usually take 10 ms and now and then a few hundred.
 inline constexpr Seconds state_timeout{2.0};
-// seconds; how long a watch is held open, and the slack before it counts as stuck. An answer proves
-// that everything is known that was committed before the watch was opened, and a leader's right to
-// keep leases alive hangs on that proof: so the hold is short, at one request a second.
+// seconds; how long a watch is held open, and the slack before it times out. A response proves that
+// everything is known that was committed before the watch was sent, and a leader may keep worker
+// leases alive only on that proof: so the hold is short, at one request a second.
 inline constexpr Seconds watch_hold{1.0};
 inline constexpr Seconds watch_slack{3.0};
 // seconds; pause before the state service is asked again after a failure.
 inline constexpr Seconds state_retry_pause{0.25};
-// seconds; shortest and longest wait before a call held back by the rate limit is looked at again.
+// seconds; shortest and longest wait before a call held back by the rate limit is tried again.
 inline constexpr Seconds min_bucket_wait{0.002};
 inline constexpr Seconds max_bucket_wait{1.0};
 // share of the published limits a leader and a follower use; two followers and one leader stay
@@ -71,47 +71,47 @@
 // many.
 inline constexpr std::size_t min_queued_user_requests = 60;
 
-// --- leadership ---
-// life of the leader's grant: long enough to ride out lost packets and slow
-// answers, short enough that workers' leases outlast a takeover.
+// --- leader election ---
+// milliseconds; duration of the leader lease: long enough to survive lost packets and slow
+// responses, short enough that worker leases outlast a failover.
 inline constexpr std::chrono::milliseconds leader_lease_ttl{4000};
-// seconds between looks at the grant; far below its life.
+// seconds between checks of the leader lease; far below its duration.
 inline constexpr Seconds election_tick{0.1};
-// seconds between renewals; three tries fit in the grant's life.
+// seconds between renewals; three attempts fit into the duration of the lease.
 inline constexpr Seconds leader_lease_renew_interval{1.0};
-// seconds; a call that renews must answer within this to count.
+// seconds; timeout of calls that create or renew a leader lease.
 inline constexpr Seconds leader_lease_call_timeout{1.5};
 // fraction; the bound PROTOCOL gives for drift of steady clocks, doubled for two clocks.
 inline constexpr double clock_drift = 0.001;
-// seconds; allowance for late timers and packets wherever a lease is waited out.
+// seconds; allowance for late timers and packets wherever a lease must have expired.
 inline constexpr Seconds lease_margin{1.0};
-// jobs whose counts one status frame tells; the counts are for display only.
+// jobs whose task counts one status names; the counts are for display only.
 inline constexpr std::size_t max_advertised_jobs = 3000;
-// seconds between status frames to siblings.
+// seconds between status broadcasts to the peers.
 inline constexpr Seconds peer_heartbeat_interval{1.0};
-// cancelled jobs that one status frame names; a frame that would have to name more vouches for
-// nothing. Jobs that are cancelled and not over are few, except in a long outage.
+// cancelled jobs that one status names; a status that would have to name more confirms nothing.
+// Jobs that are cancelled and have no final state are few, except in a long outage.
 inline constexpr std::size_t max_advertised_cancellations = 6000;
-// seconds; a sibling's word is believed for this long.
+// seconds; a peer's status describes the present for this long.
 inline constexpr Seconds max_peer_status_age{3.0};
 
-// seconds over which reports are counted to see whether workers reach their leader. A worker that
-// does not is sent on by a sibling every 5 s or so (PROTOCOL: 4 s without an answer, 1 s to the
-// next node), so that each of them shows within it; far below a lease.
+// seconds over which heartbeats are counted to see whether workers reach their leader. A worker
+// that does not is redirected by a peer every 5 s or so (PROTOCOL: 4 s without a response, 1 s to
+// the next controller), so that each of them is counted within it; far below a worker lease.
 inline constexpr Seconds reachability_window{6.0};
-// times as many reports redirected by siblings as come in here at which a leader resigns: a fault
-// of one zone or of some machines does not reach it.
+// times as many heartbeats redirected by peers as arrive at which a leader resigns: a fault of one
+// zone or of some machines does not reach it.
 inline constexpr std::uint64_t resign_ratio = 4;
-// times `heartbeat_interval_s` within which a worker reports (PROTOCOL: plus or minus a quarter).
+// times `heartbeat_interval` between two heartbeats at most (PROTOCOL: plus or minus a quarter).
 inline constexpr double heartbeat_jitter = 1.25;
-// machines below which silence says nothing about the way to the leader. Not more: a small fleet
-// whose leader waits to be told loses its leases.
+// machines below which silence says nothing about whether workers reach the leader. Not more: a
+// small fleet whose leader waits for the peers' counts loses its leases.
 inline constexpr std::size_t reachability_min_machines = 3;
-// seconds for which one that has resigned leaves the key to its siblings, unless workers reach it.
+// seconds for which a controller that has resigned does not campaign, unless workers reach it.
 inline constexpr Seconds resign_cooldown{30.0};
 
-// share of the time that a cut leader may go on answering for which one answers that has not read
-// the journal yet: cancellations may have waited for it since before its election.
+// share of the time that a cut-off leader may go on responding for which one responds that has not
+// replayed the journal yet: cancellations may have waited for it since before its election.
 inline constexpr double unready_response_share = 0.25;
 
 // --- users ---
