--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -182,24 +182,24 @@
 }
 
 bool Controller::is_vital(const HttpRequest& request) {
-  return protocol::parse_route(request.target).what == Route::What::heartbeat;
+  return protocol::parse_route(request.target).kind == Route::Kind::heartbeat;
 }
 
 void Controller::handle(const HttpRequest& request, Respond respond) {
-  using What = Route::What;
-  const Route path = protocol::parse_route(request.target);
-  if (path.what == What::none) return respond({404, protocol::encode_error("no such path")});
-  const bool reading = path.what == What::show || path.what == What::up;
+  using Kind = Route::Kind;
+  const Route route = protocol::parse_route(request.target);
+  if (route.kind == Kind::none) return respond({404, protocol::encode_error("no such path")});
+  const bool reading = route.kind == Kind::show || route.kind == Kind::up;
   if (request.method != (reading ? "GET" : "POST"))
     return respond({405, protocol::encode_error("method not allowed")});
-  switch (path.what) {
-    case What::submit:
+  switch (route.kind) {
+    case Kind::submit:
       return job_api_.submit(request.body, std::move(respond));
-    case What::show:
-      return job_api_.show(path.id, std::move(respond));
-    case What::cancel:
-      return job_api_.cancel(path.id, respond);
-    case What::heartbeat:
+    case Kind::show:
+      return job_api_.show(route.id, std::move(respond));
+    case Kind::cancel:
+      return job_api_.cancel(route.id, respond);
+    case Kind::heartbeat:
       return handle_heartbeat(request.body, respond);
     default:
       return respond({takes_requests() ? 200 : 503, "{}"});
--- a/src/coordination/controller.hpp
+++ b/src/coordination/controller.hpp
@@ -20,7 +20,7 @@
 #include "protocol/settings.hpp"
 #include "transport/event_loop.hpp"
 #include "transport/http.hpp"
-#include "transport/peer_link.hpp"
+#include "transport/peer_connections.hpp"
 
 namespace poppystile::coordination {
 
--- a/src/coordination/leader/heartbeat_handler.cpp
+++ b/src/coordination/leader/heartbeat_handler.cpp
@@ -249,7 +249,7 @@
   const bool news = cause != ExitCause::error || job->failed_on.insert(machine.id).second;
   spdlog::log(news ? spdlog::level::info : spdlog::level::debug,
               "task failed job={} index={} machine={} cause={}", placement.job, placement.index,
-              machine.id, protocol::cause_word(cause));
+              machine.id, protocol::to_string(cause));
   if (placement.phase == PlacementPhase::running)
     job->longest_failed_run = std::max(job->longest_failed_run, now - placement.phase_started_at);
   // One that has finished tasks is right, and the machine is not.
--- a/src/protocol/submission.cpp
+++ b/src/protocol/submission.cpp
@@ -119,7 +119,7 @@
   return out;
 }
 
-const char* state_word(JobState state) {
+const char* to_string(JobState state) {
   switch (state) {
     case JobState::queued:
       return "pending";
@@ -134,23 +134,23 @@
 }
 
 std::string encode_submitted(const std::string& id, JobState state) {
-  return Json{{"id", id}, {"stage", state_word(state)}}.dump();
+  return Json{{"id", id}, {"stage", to_string(state)}}.dump();
 }
 
 std::string encode_job_status(const std::string& id, JobState state, std::uint64_t done,
                               std::uint64_t running) {
-  return Json{{"id", id}, {"stage", state_word(state)}, {"done", done}, {"running", running}}
+  return Json{{"id", id}, {"stage", to_string(state)}, {"done", done}, {"running", running}}
       .dump();
 }
 
 std::string encode_error(const std::string& reason) { return Json{{"error", reason}}.dump(); }
 
 Route parse_route(const std::string& target) {
-  using What = Route::What;
+  using Kind = Route::Kind;
   const std::string path = target.substr(0, target.find('?'));
-  if (path == submissions_path) return {What::submit, ""};
-  if (path == "/up") return {What::up, ""};
-  if (path == "/agent/beat") return {What::heartbeat, ""};
+  if (path == submissions_path) return {Kind::submit, ""};
+  if (path == "/up") return {Kind::up, ""};
+  if (path == "/agent/beat") return {Kind::heartbeat, ""};
   const std::string prefix = std::string(submissions_path) + "/";
   if (!path.starts_with(prefix)) return {};
   std::string rest = path.substr(prefix.size());
@@ -158,7 +158,7 @@
   const bool cancelling = rest.ends_with(cancel);
   if (cancelling) rest.resize(rest.size() - cancel.size());
   if (rest.empty() || rest.find('/') != std::string::npos) return {};
-  return {cancelling ? What::cancel : What::show, rest};
+  return {cancelling ? Kind::cancel : Kind::show, rest};
 }
 
 }  // namespace poppystile::protocol
--- a/src/protocol/submission.hpp
+++ b/src/protocol/submission.hpp
@@ -66,11 +66,11 @@
 std::string encode_job_status(const std::string& id, JobState state, std::uint64_t done,
                               std::uint64_t running);
 std::string encode_error(const std::string& reason);
-const char* state_word(JobState state);
+const char* to_string(JobState state);
 
 // Where a user's request goes.
 struct Route {
-  enum class What { submit, show, cancel, up, heartbeat, none } what = What::none;
+  enum class Kind { submit, show, cancel, up, heartbeat, none } kind = Kind::none;
   std::string id;
 };
 Route parse_route(const std::string& target);
--- a/src/protocol/worker_messages.cpp
+++ b/src/protocol/worker_messages.cpp
@@ -60,7 +60,7 @@
 
 }  // namespace
 
-const char* cause_word(ExitCause cause) {
+const char* to_string(ExitCause cause) {
   static constexpr const char* words[] = {"none",    "done",      "stopped",
                                           "error",   "no_room",   "busy",
                                           "unknown", "peer lost", "gang incomplete"};
--- a/src/protocol/worker_messages.hpp
+++ b/src/protocol/worker_messages.hpp
@@ -29,7 +29,7 @@
   gang_incomplete  // its gang was not complete in time
 };
 // For logs.
-const char* cause_word(ExitCause cause);
+const char* to_string(ExitCause cause);
 
 struct ReportedTask {
   std::string job;
--- a/src/transport/peer_link.cpp
+++ b/src/transport/peer_connections.cpp
@@ -1,4 +1,4 @@
-#include "transport/peer_link.hpp"
+#include "transport/peer_connections.hpp"
 
 #include <spdlog/spdlog.h>
 
--- a/tests/simulation/controller_process.hpp
+++ b/tests/simulation/controller_process.hpp
@@ -16,7 +16,7 @@
 #include "simulation/state_service.hpp"
 #include "transport/event_loop.hpp"
 #include "transport/http.hpp"
-#include "transport/peer_link.hpp"
+#include "transport/peer_connections.hpp"
 
 namespace poppystile::simulation {
 
--- a/tests/unit/codec_test.cpp
+++ b/tests/unit/codec_test.cpp
@@ -134,13 +134,13 @@
 }
 
 TEST(Paths, AreTakenApart) {
-  using What = protocol::Route::What;
-  EXPECT_EQ(protocol::parse_route("/submissions").what, What::submit);
+  using Kind = protocol::Route::Kind;
+  EXPECT_EQ(protocol::parse_route("/submissions").kind, Kind::submit);
   EXPECT_EQ(protocol::parse_route("/submissions/req-1").id, "req-1");
-  EXPECT_EQ(protocol::parse_route("/submissions/req-1/cancel").what, What::cancel);
-  EXPECT_EQ(protocol::parse_route("/submissions/a/b/c").what, What::none);
-  EXPECT_EQ(protocol::parse_route("/submissions/").what, What::none);
-  EXPECT_EQ(protocol::parse_route("/elsewhere").what, What::none);
+  EXPECT_EQ(protocol::parse_route("/submissions/req-1/cancel").kind, Kind::cancel);
+  EXPECT_EQ(protocol::parse_route("/submissions/a/b/c").kind, Kind::none);
+  EXPECT_EQ(protocol::parse_route("/submissions/").kind, Kind::none);
+  EXPECT_EQ(protocol::parse_route("/elsewhere").kind, Kind::none);
 }
 
 TEST(Catalog, ReadsTheProtocolsExampleAndWritesItAgain) {
