--- /dev/null
+++ b/src/coordination/api/consistent_reader.cpp
@@ -0,0 +1,118 @@
+#include "coordination/api/consistent_reader.hpp"
+
+#include <algorithm>
+#include <utility>
+
+#include "constants.hpp"
+#include "storage/records.hpp"
+
+namespace poppystile::coordination {
+
+using storage::final_record_key;
+using storage::job_key;
+
+namespace {
+
+// The job's key and its final record's.
+constexpr std::size_t max_conditions_per_query = 2;
+
+bool contains(const std::vector<std::string>& keys, const std::string& key) {
+  return std::find(keys.begin(), keys.end(), key) != keys.end();
+}
+
+}  // namespace
+
+ConsistentReader::ConsistentReader(transport::Runtime& runtime, KeyValueClient& key_value_client,
+                                   SharedStateCache& shared_state,
+                                   const protocol::StateLimits& limits)
+    : runtime_(runtime),
+      key_value_client_(key_value_client),
+      shared_state_(shared_state),
+      limits_(limits) {}
+
+bool ConsistentReader::response_is_fresh() const {
+  return runtime_.now() - key_value_client_.answered_request_sent_at() <= constants::max_read_age;
+}
+
+void ConsistentReader::confirm_current(const std::string& id, Callback done) {
+  gathered_.push_back({id, std::move(done)});
+  if (gathered_.size() == 1)
+    runtime_.after(constants::poll_batch_window, [this] { send_gathered(); });
+}
+
+void ConsistentReader::send_gathered() {
+  const std::size_t max_batch = limits_.max_conditions() / max_conditions_per_query;
+  std::vector<Query> batch;
+  for (auto& query : std::exchange(gathered_, {})) {
+    batch.push_back(std::move(query));
+    if (batch.size() == max_batch) send_compare(std::exchange(batch, {}));
+  }
+  if (!batch.empty()) send_compare(std::move(batch));
+}
+
+void ConsistentReader::send_compare(std::vector<Query> queries) {
+  protocol::Transaction compare;
+  std::vector<Query> open;
+  for (auto& query : queries) {
+    // A final record never changes, so the cache suffices.
+    if (shared_state_.final_state(query.id)) {
+      query.done(ReadResult::terminal);
+      continue;
+    }
+    const CachedJob* cached = shared_state_.job(query.id);
+    query.cached = cached != nullptr;
+    if (query.cached) {
+      compare.conditions.push_back({job_key(query.id), cached->version});
+    } else {
+      compare.conditions.push_back({job_key(query.id), 0});
+      compare.conditions.push_back({final_record_key(query.id), 0});
+    }
+    open.push_back(std::move(query));
+  }
+  if (open.empty()) return;
+  key_value_client_.compare_and_swap(
+      compare, RequestPriority::user,
+      [this, open = std::move(open)](const TransactionResult& result) mutable {
+        for (auto& query : open) finish_query(std::move(query), result);
+      });
+}
+
+void ConsistentReader::finish_query(Query query, const TransactionResult& result) {
+  if (result.status == CallStatus::ok && response_is_fresh())
+    return query.done(query.cached ? ReadResult::active : ReadResult::absent);
+  if (result.status != CallStatus::conflict) return query.done(ReadResult::unavailable);
+  const bool changed = contains(result.failed, job_key(query.id)) ||
+                       contains(result.failed, final_record_key(query.id));
+  if (changed) return read_from_service(query.id, std::move(query.done));
+  // Another query of the batch made the compare fail.
+  confirm_current(query.id, std::move(query.done));
+}
+
+// The job first: a job that ends between the two reads is then found by its final record.
+void ConsistentReader::read_from_service(const std::string& id, Callback done) {
+  key_value_client_.get(
+      job_key(id), RequestPriority::user,
+      [this, id, done = std::move(done)](CallStatus status,
+                                         const std::optional<protocol::Entry>& job) mutable {
+        if (status != CallStatus::ok) return done(ReadResult::unavailable);
+        if (!job) return read_final_record(id, std::move(done));
+        shared_state_.apply_response(job->key, job->value, job->version);
+        if (!response_is_fresh()) return done(ReadResult::unavailable);
+        done(shared_state_.job(id) != nullptr ? ReadResult::active : ReadResult::terminal);
+      });
+}
+
+void ConsistentReader::read_final_record(const std::string& id, Callback done) {
+  key_value_client_.get(
+      final_record_key(id), RequestPriority::user,
+      [this, done = std::move(done)](CallStatus status,
+                                     const std::optional<protocol::Entry>& final_record) {
+        if (status != CallStatus::ok) return done(ReadResult::unavailable);
+        if (!final_record)
+          return done(response_is_fresh() ? ReadResult::absent : ReadResult::unavailable);
+        shared_state_.apply_response(final_record->key, final_record->value, final_record->version);
+        done(ReadResult::terminal);
+      });
+}
+
+}  // namespace poppystile::coordination
--- /dev/null
+++ b/src/coordination/api/consistent_reader.hpp
@@ -0,0 +1,66 @@
+/// \file
+/// Reads of jobs that are current at the state service, not only in this controller's cache.
+#pragma once
+
+#include <cstdint>
+#include <functional>
+#include <optional>
+#include <string>
+#include <vector>
+
+#include "coordination/state/key_value_client.hpp"
+#include "coordination/state/shared_state_cache.hpp"
+#include "protocol/state_limits.hpp"
+#include "transport/event_loop.hpp"
+
+namespace poppystile::coordination {
+
+/// What the state service confirmed about a job.
+enum class ReadResult : std::uint8_t {
+  unavailable,  ///< Nothing is certain: no answer, or one too old to be passed on.
+  active,       ///< The job is stored and has no final record; the cache holds its record.
+  terminal,     ///< The job has its final record.
+  absent        ///< The job was never stored.
+};
+
+/// Confirms cached jobs against the state service and reads again what has changed.
+///
+/// A result other than `terminal` is given only while the answer that proves it is at most
+/// `constants::max_read_age` old: another controller may have told users of later changes.
+class ConsistentReader {
+ public:
+  using Callback = std::function<void(ReadResult)>;
+
+  /// All arguments must outlive the reader.
+  ConsistentReader(transport::Runtime& runtime, KeyValueClient& key_value_client,
+                   SharedStateCache& shared_state, const protocol::StateLimits& limits);
+
+  /// Confirms that the cache is current for the job, or reads the job again if it is not.
+  ///
+  /// Queries of `constants::poll_batch_window` are gathered into one compare. `done` runs once.
+  void confirm_current(const std::string& id, Callback done);
+
+  /// Reads the job's records from the state service into the cache. `done` runs once.
+  void read_from_service(const std::string& id, Callback done);
+
+ private:
+  struct Query {
+    std::string id;
+    Callback done;
+    bool cached = false;  // whether the cache held the job's record when the compare was sent
+  };
+
+  void send_gathered();
+  void send_compare(std::vector<Query> queries);
+  void finish_query(Query query, const TransactionResult& result);
+  void read_final_record(const std::string& id, Callback done);
+  bool response_is_fresh() const;
+
+  transport::Runtime& runtime_;
+  KeyValueClient& key_value_client_;
+  SharedStateCache& shared_state_;
+  const protocol::StateLimits& limits_;
+  std::vector<Query> gathered_;
+};
+
+}  // namespace poppystile::coordination
--- a/src/coordination/api/job_api.hpp
+++ b/src/coordination/api/job_api.hpp
@@ -1,63 +1,89 @@
-// Users' requests. Any node serves them, against the state service.
+/// \file
+/// Users' requests. Any controller serves them, against the state service.
 #pragma once
 
+#include <cstdint>
 #include <functional>
 #include <string>
-#include <utility>
-#include <vector>
 
+#include "coordination/api/admission_check.hpp"
+#include "coordination/api/consistent_reader.hpp"
 #include "coordination/state/key_value_client.hpp"
 #include "coordination/state/shared_state_cache.hpp"
 #include "protocol/settings.hpp"
+#include "transport/event_loop.hpp"
 #include "transport/http.hpp"
 
 namespace poppystile::coordination {
 
+/// How many tasks of a job have finished and how many run, for display only.
 struct TaskCounts {
   std::uint64_t done = 0;
   std::uint64_t running = 0;
 };
 
+/// Handles submissions, status polls and cancellations.
+///
+/// Each call responds exactly once. A response never claims more than the state service has
+/// confirmed: while it cannot be reached, or its calls pile up, users get 503 with Retry-After.
 class JobApi {
  public:
+  /// All references must outlive the object; `counts` gives the tasks of a job by its id.
   JobApi(transport::Runtime& runtime, KeyValueClient& key_value_client,
          SharedStateCache& shared_state, const protocol::Settings& settings,
          std::function<TaskCounts(const std::string&)> counts);
 
+  /// Stores a new job (201) or responds with the state of one that is stored already (200).
+  /// 400: malformed; 422: it can never run or be stored.
   void submit(const std::string& body, transport::Respond respond);
+
+  /// Responds with the job's state and counts (200), or 404.
   void show(const std::string& id, transport::Respond respond);
+
+  /// Marks the job as cancelled, unless it has its final state, and responds with its state (200),
+  /// or 404.
   void cancel(const std::string& id, const transport::Respond& respond);
 
  private:
-  // What is certain about a job now.
-  enum class ReadResult : std::uint8_t { live, over, absent, unsure };
-  using Verified = std::function<void(ReadResult)>;
-  struct Question {
+  /// An admitted job on its way into the state service.
+  struct Submission {
+    AdmittedJob job;
+    SteadyTime received_at;
+    transport::Respond respond;
+  };
+  /// A cancellation on its way into the state service.
+  struct Cancellation {
     std::string id;
-    Verified answer;
+    SteadyTime received_at;
+    transport::Respond respond;
   };
 
-  void verify(const std::string& id, Verified answer);
-  void flush_gathered();
-  void ask(std::vector<Question> questions);
-  // Whether what the answer at hand tells may still be told.
-  bool fresh() const;
-  void read_again(const std::string& id, Verified answer);
-  void answer_current(const std::string& id, transport::Respond respond);
-  void answer_state(const std::string& id, bool as_poll, const transport::Respond& respond) const;
+  void store_job(Submission submission);
+  void finish_submission(const Submission& submission, const protocol::Json& record,
+                         const TransactionResult& result);
+  void mark_cancelled(const Cancellation& cancellation);
+  void finish_cancellation(const Cancellation& cancellation, const protocol::Json& record,
+                           const TransactionResult& result);
+  /// Reads the job from the state service, then marks it, unless it does not exist.
+  void read_and_mark_cancelled(const Cancellation& cancellation);
+
+  void respond_status(const std::string& id, const transport::Respond& respond) const;
+  void respond_state(const std::string& id, const transport::Respond& respond) const;
+  /// Responds with the state of a job that was submitted before, if it is certain to exist.
+  ConsistentReader::Callback respond_state_if_stored(const std::string& id,
+                                                     transport::Respond respond) const;
   protocol::JobState state_of(const std::string& id) const;
-  std::string check_admission(protocol::JobSpec& job) const;
-  void accept(protocol::JobSpec job, SteadyTime since, transport::Respond respond);
-  void mark_cancelled(const std::string& id, SteadyTime since, const transport::Respond& respond);
-  bool must_turn_away() const;
-  bool within_retry_deadline(SteadyTime since) const;
+  bool known_as_cancelled_or_final(const std::string& id) const;
+  bool must_reject_requests() const;
+  bool within_retry_window(SteadyTime received_at) const;
 
   transport::Runtime& runtime_;
   KeyValueClient& key_value_client_;
   SharedStateCache& shared_state_;
   const protocol::Settings& settings_;
   std::function<TaskCounts(const std::string&)> counts_;
-  std::vector<Question> gathered_;
+  AdmissionCheck admission_check_;
+  ConsistentReader reader_;
 };
 
 }  // namespace poppystile::coordination
--- a/tests/unit/job_api_test.cpp
+++ b/tests/unit/job_api_test.cpp
@@ -1,4 +1,5 @@
-// What users are answered: each reason for a refusal, at once and with nothing stored; repeats.
+/// \file
+/// Responses to users: each reason for a rejection, at once and with nothing stored; repeats.
 #include "coordination/api/job_api.hpp"
 
 #include <gtest/gtest.h>
@@ -27,7 +28,7 @@
     load_shared_state();
   }
 
-  static Json job() {
+  static Json submission() {
     return {{"id", "req-000412"}, {"lane", "train"},    {"crew", "vision"},   {"shape", "sweep"},
             {"rank", "high"},     {"pieces", 16},       {"cores", 8.0},       {"gpus", 1.0},
             {"ram_gb", 32.0},     {"bundle", "img-07"}, {"pull_gb", 6.2},     {"builds", nullptr},
@@ -35,23 +36,23 @@
             {"guess_s", 240.0},   {"mark_every_s", 30}, {"mark_cost_s", 4.0}, {"due_s", nullptr}};
   }
 
-  // The answer, and how long it took.
+  /// The response; `response_time` is how long it took.
   HttpResponse submit(const Json& body) {
     HttpResponse got;
-    const double asked = queue.now();
-    desk.submit(body.dump(), [&](HttpResponse response) {
+    const double sent_at = queue.now();
+    job_api.submit(body.dump(), [&](HttpResponse response) {
       got = std::move(response);
-      took_s = queue.now() - asked;
+      response_time = queue.now() - sent_at;
     });
-    queue.run_until(asked + 2);
+    queue.run_until(sent_at + 2);
     return got;
   }
 
-  JobApi desk{caller, store, shared_state, settings, [](const auto&) { return TaskCounts{}; }};
-  double took_s = -1;
+  JobApi job_api{caller, store, shared_state, settings, [](const auto&) { return TaskCounts{}; }};
+  double response_time = -1;
 };
 
-TEST_F(JobApiTest, EachReasonForARefusalIsToldAtOnceAndNothingIsStored) {
+TEST_F(JobApiTest, RejectsInadmissibleJobsAtOnceAndStoresNothing) {
   struct Case {
     const char* what;
     std::vector<std::pair<const char*, Json>> fields;
@@ -82,20 +83,20 @@
       {"no name", {{"id", "412"}}, 400},
   };
   for (const Case& each : cases) {
-    Json body = job();
+    Json body = submission();
     for (const auto& [field, value] : each.fields) body[field] = value;
     for (int repeat = 0; repeat < 2; ++repeat) {
       const HttpResponse got = submit(body);
       EXPECT_EQ(got.status, each.status) << each.what << " " << got.body;
-      EXPECT_EQ(took_s, 0) << each.what;
+      EXPECT_EQ(response_time, 0) << each.what;
       EXPECT_TRUE(Json::parse(got.body).at("error").is_string()) << each.what;
     }
     EXPECT_FALSE(service.has(storage::job_key("req-000412"))) << each.what;
   }
 }
 
-TEST_F(JobApiTest, WhatCanRunIsAcceptedOnceAndKnownWhenRepeated) {
-  const std::vector<std::vector<std::pair<const char*, Json>>> good = {
+TEST_F(JobApiTest, AcceptsAnAdmissibleJobOnceAndRespondsWithItsStateWhenRepeated) {
+  const std::vector<std::vector<std::pair<const char*, Json>>> admissible = {
       {},
       {{"id", "req-000002"}, {"cores", 32}, {"ram_gb", 64}, {"gpus", 2}},
       {{"id", "req-000003"}, {"crew", "free"}, {"gpus", 8}},
@@ -103,42 +104,43 @@
       {{"id", "req-000006"}, {"shape", "gang"}, {"pieces", 5}, {"cores", 8}, {"gpus", 0}},
       {{"id", "req-000007"}, {"shape", "gang"}, {"crew", "free"}, {"pieces", 100}},
       {{"id", "req-000005"}, {"shape", "standing"}, {"pieces", 2}, {"guess_s", 0}}};
-  for (const auto& fields : good) {
-    Json body = job();
+  for (const auto& fields : admissible) {
+    Json body = submission();
     for (const auto& [field, value] : fields) body[field] = value;
     EXPECT_EQ(submit(body).status, 201);
-    const HttpResponse again = submit(body);
-    EXPECT_EQ(again.status, 200);
-    EXPECT_EQ(Json::parse(again.body).at("stage"), "pending");
+    const HttpResponse repeated = submit(body);
+    EXPECT_EQ(repeated.status, 200);
+    EXPECT_EQ(Json::parse(repeated.body).at("stage"), "pending");
   }
 }
 
-TEST_F(JobApiTest, WithoutTheWorkersTimesNoGangIsTaken) {
+TEST_F(JobApiTest, RejectsGangsWhereWorkersDoNotSupportThem) {
   settings.gang_times.reset();
-  Json body = job();
+  Json body = submission();
   body["shape"] = "gang";
   body["crew"] = "free";
   EXPECT_EQ(submit(body).status, 422);
 }
 
-TEST_F(JobApiTest, WhatCannotBeStoredUnderTheLimitIsRefusedAtOnce) {
+TEST_F(JobApiTest, RejectsAJobWhoseRecordExceedsTheValueLimit) {
   settings.state_limits.value_kb = 0.25;
-  EXPECT_EQ(submit(job()).status, 422);
+  EXPECT_EQ(submit(submission()).status, 422);
   EXPECT_FALSE(service.has(storage::job_key("req-000412")));
 }
 
-// A comparison that was answered late says nothing about now: another node may have told more.
-TEST_F(JobApiTest, WhatWasSeenLongAgoIsNotTold) {
-  ASSERT_EQ(submit(job()).status, 201);
-  const auto ask = [&](double slow_s) {
+// A compare that was answered late says nothing about now: another controller may have reported
+// a later state.
+TEST_F(JobApiTest, DoesNotReportAStateThatWasReadTooLongAgo) {
+  ASSERT_EQ(submit(submission()).status, 201);
+  const auto show_after = [&](double response_delay) {
     HttpResponse got;
-    caller.response_delay = Seconds{slow_s};
-    desk.show("req-000412", [&](HttpResponse response) { got = std::move(response); });
+    caller.response_delay = Seconds{response_delay};
+    job_api.show("req-000412", [&](HttpResponse response) { got = std::move(response); });
     queue.run_until(queue.now() + 3);
     return got;
   };
-  EXPECT_EQ(ask(0.5).status, 200);
-  const HttpResponse late = ask(1.5);
+  EXPECT_EQ(show_after(0.5).status, 200);
+  const HttpResponse late = show_after(1.5);
   EXPECT_EQ(late.status, 503);
   EXPECT_TRUE(late.retry_after.count() > 0);
 }
