--- a/src/coordination/api/job_api.cpp
+++ b/src/coordination/api/job_api.cpp
@@ -5,6 +5,7 @@
 #include <utility>
 
 #include "constants.hpp"
+#include "protocol/user_responses.hpp"
 
 namespace poppystile::coordination {
 
--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -7,6 +7,8 @@
 #include <utility>
 
 #include "constants.hpp"
+#include "protocol/route.hpp"
+#include "protocol/user_responses.hpp"
 
 namespace poppystile::coordination {
 
--- a/src/protocol/cloud_messages.cpp
+++ b/src/protocol/cloud_messages.cpp
@@ -1,82 +1,112 @@
 #include "protocol/cloud_messages.hpp"
 
+#include <utility>
+
+#include "protocol/wire_names.hpp"
+
 namespace poppystile::protocol {
 
+namespace {
+
+// machines on one page; the cloud's bound.
+constexpr int list_page_size = 500;
+
+// Fields of a machine type alone.
+constexpr const char* type_name_field = "sku";
+constexpr const char* cache_size_field = "local_gb";
+constexpr const char* fetch_rate_field = "fetch_gb_per_s";
+constexpr const char* price_field = "rate";
+constexpr const char* spot_price_field = "low_price";
+constexpr const char* boot_time_field = "boot_s";
+
+MachineType parse_machine_type(const Json& object) {
+  MachineType type;
+  type.name = need_text(object, type_name_field);
+  type.size = parse_resources(object);
+  type.cache_gb = need_amount(object, cache_size_field);
+  type.fetch_gb_per_s = need_amount(object, fetch_rate_field);
+  type.price = need_amount(object, price_field);
+  type.spot_price = need_amount(object, spot_price_field);
+  type.boot_time = need_seconds(object, boot_time_field);
+  type.zones = need_texts(object, wire::zones);
+  if (type.size.cpus <= 0 || type.fetch_gb_per_s <= 0)
+    throw DecodeError(wire::machine_types, "out of range");
+  return type;
+}
+
+Json encode_machine_type(const MachineType& type) {
+  Json out = {{type_name_field, type.name},
+              {cache_size_field, type.cache_gb},
+              {fetch_rate_field, type.fetch_gb_per_s},
+              {price_field, type.price},
+              {spot_price_field, type.spot_price},
+              {boot_time_field, type.boot_time.count()},
+              {wire::zones, type.zones}};
+  encode_resources(type.size, out);
+  return out;
+}
+
+/// A state that this version does not know counts as running.
+MachineState parse_machine_state(const std::string& word) {
+  if (word == "failed") return MachineState::failed;
+  if (word == "booting") return MachineState::booting;
+  return MachineState::running;
+}
+
+ListedMachine parse_listed_machine(const Json& object) {
+  ListedMachine machine;
+  machine.id = need_text(object, "id");
+  machine.type = need_text(object, wire::machine_type);
+  machine.zone = need_text(object, wire::zone);
+  machine.spot = need_flag(object, wire::spot);
+  machine.state = parse_machine_state(need_text(object, wire::state));
+  machine.age = need_seconds(object, "held_s");
+  return machine;
+}
+
+}  // namespace
+
 std::vector<MachineType> parse_catalog(const Json& root) {
   std::vector<MachineType> out;
-  for (const Json& each : need_list(root, "builds")) {
-    MachineType type;
-    type.name = need_text(each, "sku");
-    type.size = {std::llround(need_amount(each, "cores") * 1000),
-                 std::llround(need_amount(each, "gpus") * 1000),
-                 std::llround(need_amount(each, "ram_gb") * 1000)};
-    type.cache_gb = need_amount(each, "local_gb");
-    type.fetch_gb_per_s = need_amount(each, "fetch_gb_per_s");
-    type.price = need_amount(each, "rate");
-    type.spot_price = need_amount(each, "low_price");
-    type.boot_time = need_seconds(each, "boot_s");
-    for (const Json& zone : need_list(each, "yards")) type.zones.push_back(as_text(zone, "yards"));
-    if (type.size.cpus <= 0 || type.fetch_gb_per_s <= 0) throw DecodeError("builds out of range");
-    out.push_back(std::move(type));
-  }
+  for (const Json& each : need_list(root, wire::machine_types))
+    out.push_back(parse_machine_type(each));
   return out;
 }
 
 Json encode_catalog(const std::vector<MachineType>& types) {
   Json list = Json::array();
-  for (const auto& each : types)
-    list.push_back({{"sku", each.name},
-                    {"cores", static_cast<double>(each.size.cpus) / 1000},
-                    {"gpus", static_cast<double>(each.size.gpus) / 1000},
-                    {"ram_gb", static_cast<double>(each.size.memory) / 1000},
-                    {"local_gb", each.cache_gb},
-                    {"fetch_gb_per_s", each.fetch_gb_per_s},
-                    {"rate", each.price},
-                    {"low_price", each.spot_price},
-                    {"boot_s", each.boot_time.count()},
-                    {"yards", each.zones}});
-  return {{"builds", std::move(list)}};
+  for (const auto& each : types) list.push_back(encode_machine_type(each));
+  return {{wire::machine_types, std::move(list)}};
 }
 
 std::string encode_rental(const std::string& request, const std::string& type,
                           const std::string& zone, bool spot, int count) {
-  return Json{
-      {"hire", request}, {"build", type}, {"yard", zone}, {"loaners", spot}, {"how_many", count}}
+  return Json{{"hire", request},
+              {wire::machine_type, type},
+              {wire::zone, zone},
+              {wire::spot, spot},
+              {"how_many", count}}
       .dump();
 }
 
 std::vector<std::string> parse_rented(const std::string& body) {
-  const Json root = parse_object(body);
-  std::vector<std::string> out;
-  for (const Json& each : need_list(root, "stiles")) out.push_back(as_text(each, "stiles"));
-  return out;
+  return need_texts(parse_object(body), wire::machines);
 }
 
 std::string encode_release(const std::vector<std::string>& machines) {
-  return Json{{"stiles", machines}}.dump();
+  return Json{{wire::machines, machines}}.dump();
 }
 
 std::string list_path(const std::string& after) {
-  return std::string(rentals_path) + "?from=" + after + "&page=500";
+  return std::string(rentals_path) + "?from=" + after + "&page=" + std::to_string(list_page_size);
 }
 
 MachineList parse_machine_list(const std::string& body) {
   const Json root = parse_object(body);
   MachineList out;
-  out.more = need_flag(root, "more");
-  for (const Json& each : need_list(root, "stiles")) {
-    ListedMachine machine;
-    machine.id = need_text(each, "id");
-    machine.type = need_text(each, "build");
-    machine.zone = need_text(each, "yard");
-    machine.spot = need_flag(each, "loaners");
-    const std::string state = need_text(each, "stage");
-    machine.state = state == "failed"    ? MachineState::failed
-                    : state == "booting" ? MachineState::booting
-                                         : MachineState::running;
-    machine.age = need_seconds(each, "held_s");
-    out.machines.push_back(std::move(machine));
-  }
+  out.more = need_flag(root, wire::more);
+  for (const Json& each : need_list(root, wire::machines))
+    out.machines.push_back(parse_listed_machine(each));
   return out;
 }
 
--- a/src/protocol/json.hpp
+++ b/src/protocol/json.hpp
@@ -1,4 +1,5 @@
-// Checked access to JSON fields: a wrong or missing field raises DecodeError with its name.
+/// \file
+/// Checked access to JSON fields: a wrong or missing field raises DecodeError with its name.
 #pragma once
 
 #include <cmath>
@@ -7,6 +8,7 @@
 #include <optional>
 #include <stdexcept>
 #include <string>
+#include <vector>
 
 #include "clock.hpp"
 
@@ -14,10 +16,32 @@
 
 using Json = nlohmann::json;
 
-struct DecodeError : std::runtime_error {
-  using std::runtime_error::runtime_error;
+/// A text that is not what its reader expects. `what()` names the field and the problem; users and
+/// operators are shown it.
+class DecodeError : public std::runtime_error {
+ public:
+  /// A problem of the text as a whole, or of a record without a single faulty field.
+  explicit DecodeError(const std::string& problem) : std::runtime_error(problem) {}
+  /// "FIELD PROBLEM", such as "rank is unknown".
+  DecodeError(const std::string& field, const std::string& problem)
+      : std::runtime_error(field + " " + problem), field_(field) {}
+
+  /// "FIELD: expected EXPECTATION", such as "cores: expected a number above 0".
+  static DecodeError expected(const std::string& field, const std::string& expectation) {
+    return {field + ":", "expected " + expectation, field};
+  }
+
+  /// The faulty field; empty when the text as a whole is at fault.
+  const std::string& field() const { return field_; }
+
+ private:
+  DecodeError(const std::string& prefix, const std::string& problem, std::string field)
+      : std::runtime_error(prefix + " " + problem), field_(std::move(field)) {}
+
+  std::string field_;
 };
 
+/// Parses a JSON object; throws DecodeError for anything else.
 inline Json parse_object(const std::string& text) {
   Json parsed = Json::parse(text, nullptr, false);
   if (parsed.is_discarded()) throw DecodeError("not JSON");
@@ -25,53 +49,81 @@
   return parsed;
 }
 
+/// The field's value; nullptr when it is absent or null.
 inline const Json* find(const Json& object, const char* name) {
   const auto it = object.find(name);
   return it == object.end() || it->is_null() ? nullptr : &*it;
 }
 
+/// The field's value; throws DecodeError when it is absent or null.
 inline const Json& need(const Json& object, const char* name) {
   const Json* found = find(object, name);
-  if (found == nullptr) throw DecodeError(std::string(name) + " is missing");
+  if (found == nullptr) throw DecodeError(name, "is missing");
   return *found;
 }
 
+// Each `as_...` converts a value, and throws DecodeError with the field's name `name` if it cannot.
+
 inline std::string as_text(const Json& value, const char* name) {
-  if (!value.is_string()) throw DecodeError(std::string(name) + " is not a string");
+  if (!value.is_string()) throw DecodeError(name, "is not a string");
   return value.get<std::string>();
 }
 
 inline bool as_flag(const Json& value, const char* name) {
-  if (!value.is_boolean()) throw DecodeError(std::string(name) + " is not true or false");
+  if (!value.is_boolean()) throw DecodeError(name, "is not true or false");
   return value.get<bool>();
 }
 
-// A finite number that is not negative.
+/// A finite number that is not negative.
 inline double as_amount(const Json& value, const char* name) {
-  if (!value.is_number()) throw DecodeError(std::string(name) + " is not a number");
+  if (!value.is_number()) throw DecodeError(name, "is not a number");
   const double amount = value.get<double>();
-  if (!std::isfinite(amount) || amount < 0) throw DecodeError(std::string(name) + " out of range");
+  if (!std::isfinite(amount) || amount < 0) throw DecodeError(name, "out of range");
   return amount;
 }
 
 inline std::uint64_t as_count(const Json& value, const char* name) {
-  if (!value.is_number_unsigned()) throw DecodeError(std::string(name) + " is not a count");
+  if (!value.is_number_unsigned()) throw DecodeError(name, "is not a count");
   return value.get<std::uint64_t>();
 }
 
-inline std::string need_text(const Json& o, const char* n) { return as_text(need(o, n), n); }
-inline bool need_flag(const Json& o, const char* n) { return as_flag(need(o, n), n); }
-inline double need_amount(const Json& o, const char* n) { return as_amount(need(o, n), n); }
 inline Seconds as_seconds(const Json& value, const char* name) {
   return Seconds{as_amount(value, name)};
 }
-inline Seconds need_seconds(const Json& o, const char* n) { return as_seconds(need(o, n), n); }
-inline std::uint64_t need_count(const Json& o, const char* n) { return as_count(need(o, n), n); }
+
+// Each `need_...` reads a field that must be there, of that type; throws DecodeError otherwise.
+
+inline std::string need_text(const Json& object, const char* name) {
+  return as_text(need(object, name), name);
+}
+
+inline bool need_flag(const Json& object, const char* name) {
+  return as_flag(need(object, name), name);
+}
+
+inline double need_amount(const Json& object, const char* name) {
+  return as_amount(need(object, name), name);
+}
+
+inline Seconds need_seconds(const Json& object, const char* name) {
+  return as_seconds(need(object, name), name);
+}
+
+inline std::uint64_t need_count(const Json& object, const char* name) {
+  return as_count(need(object, name), name);
+}
 
 inline const Json& need_list(const Json& object, const char* name) {
   const Json& list = need(object, name);
-  if (!list.is_array()) throw DecodeError(std::string(name) + " is not a list");
+  if (!list.is_array()) throw DecodeError(name, "is not a list");
   return list;
 }
 
+/// A list of strings.
+inline std::vector<std::string> need_texts(const Json& object, const char* name) {
+  std::vector<std::string> texts;
+  for (const Json& each : need_list(object, name)) texts.push_back(as_text(each, name));
+  return texts;
+}
+
 }  // namespace poppystile::protocol
--- a/src/protocol/properties.cpp
+++ b/src/protocol/properties.cpp
@@ -2,9 +2,12 @@
 
 #include <log4cplus/helpers/property.h>
 
+#include <algorithm>
 #include <charconv>
 #include <fstream>
+#include <limits>
 #include <map>
+#include <vector>
 
 #include "constants.hpp"
 #include "protocol/json.hpp"
@@ -18,6 +21,7 @@
 
 namespace {
 
+/// The range of a key's value, and where it goes.
 struct PropertyRule {
   double min;
   double max;
@@ -36,8 +40,8 @@
   return rules;
 }
 
-// Levenshtein distance, for the hint in a complaint about an unknown key.
-std::size_t distance(const std::string& a, const std::string& b) {
+/// The Levenshtein distance, for the hint in the error about an unknown key.
+std::size_t edit_distance(const std::string& a, const std::string& b) {
   std::vector<std::size_t> row(b.size() + 1);
   for (std::size_t j = 0; j <= b.size(); ++j) row[j] = j;
   for (std::size_t i = 1; i <= a.size(); ++i) {
@@ -52,12 +56,12 @@
   return row.back();
 }
 
-std::string nearest(const std::string& key) {
+std::string nearest_key(const std::string& key) {
   std::string best;
-  std::size_t least = ~std::size_t{0};
+  std::size_t least = std::numeric_limits<std::size_t>::max();
   for (const auto& [name, rule] : property_rules()) {
-    if (const auto d = distance(key, name); d < least) {
-      least = d;
+    if (const auto distance = edit_distance(key, name); distance < least) {
+      least = distance;
       best = name;
     }
   }
@@ -67,14 +71,14 @@
 void apply(Properties& out, const std::string& key, const std::string& text) {
   const auto rule = property_rules().find(key);
   if (rule == property_rules().end())
-    throw DecodeError("unknown key " + key + ", the nearest is " + nearest(key));
+    throw DecodeError("unknown key " + key + ", the nearest is " + nearest_key(key));
   const auto& [min, max, set] = rule->second;
   double value = 0;
   const char* end = text.data() + text.size();
   const auto [stop, error] = std::from_chars(text.data(), end, value);
   if (error != std::errc{} || stop != end || !(value >= min && value <= max))
-    throw DecodeError(key + ": expected a number from " + std::to_string(min) + " to " +
-                      std::to_string(max) + ", got \"" + text + "\"");
+    throw DecodeError::expected(key, "a number from " + std::to_string(min) + " to " +
+                                         std::to_string(max) + ", got \"" + text + "\"");
   set(out, value);
 }
 
--- a/src/protocol/settings.cpp
+++ b/src/protocol/settings.cpp
@@ -11,33 +11,51 @@
 
 transport::Endpoint parse_endpoint(const std::string& text, const char* name) {
   const auto colon = text.rfind(':');
-  const std::string problem = std::string(name) + ": expected IPv4:PORT, got \"" + text + "\"";
-  if (colon == std::string::npos) throw DecodeError(problem);
+  const auto malformed = [&] {
+    return DecodeError::expected(name, "IPv4:PORT, got \"" + text + "\"");
+  };
+  if (colon == std::string::npos) throw malformed();
   transport::Endpoint endpoint{text.substr(0, colon), 0};
   const char* end = text.data() + text.size();
   const auto [stop, error] = std::from_chars(text.data() + colon + 1, end, endpoint.port);
   in_addr address{};
   if (error != std::errc{} || stop != end || endpoint.port == 0 ||
       inet_pton(AF_INET, endpoint.host.c_str(), &address) != 1)
-    throw DecodeError(problem);
+    throw malformed();
   return endpoint;
 }
 
 namespace {
 
+// Fields that are read in more than one place, or named in a message.
+constexpr const char* name_field = "member";
+constexpr const char* zone_field = "site";
+constexpr const char* heartbeat_interval_field = "report_s";
+constexpr const char* lease_field = "lease_s";
+constexpr const char* rps_field = "rps";
+constexpr const char* write_rps_field = "write_rps";
+constexpr const char* value_size_field = "value_kb";
+constexpr const char* max_changes_field = "txn_ops";
+constexpr const char* next_limits_field = "next";
+constexpr const char* sockets_field = "sockets";
+constexpr const char* objectives_field = "objectives";
+
+// ms; the users' bound on the difference of two controllers' clocks, unless the settings give it.
+constexpr double default_clock_offset_ms = 100;
+
 transport::Endpoint need_endpoint(const Json& object, const char* name) {
   return parse_endpoint(need_text(object, name), name);
 }
 
 const Json& need_section(const Json& object, const char* name) {
   const Json& section = need(object, name);
-  if (!section.is_object()) throw DecodeError(std::string(name) + ": expected an object");
+  if (!section.is_object()) throw DecodeError::expected(name, "an object");
   return section;
 }
 
 double need_positive(const Json& object, const char* name) {
   const double amount = need_amount(object, name);
-  if (amount <= 0) throw DecodeError(std::string(name) + ": expected a number above 0");
+  if (amount <= 0) throw DecodeError::expected(name, "a number above 0");
   return amount;
 }
 
@@ -71,66 +89,93 @@
 // A name that is absent has the limit of `otherwise`.
 StateLimits state_limits_or(const Json& given, const StateLimits& otherwise) {
   StateLimits out;
-  out.rps = positive_or(given, "rps", otherwise.rps);
-  out.write_rps = positive_or(given, "write_rps", otherwise.write_rps);
-  out.value_kb = positive_or(given, "value_kb", otherwise.value_kb);
-  out.txn_ops = static_cast<int>(positive_or(given, "txn_ops", otherwise.txn_ops));
+  out.rps = positive_or(given, rps_field, otherwise.rps);
+  out.write_rps = positive_or(given, write_rps_field, otherwise.write_rps);
+  out.value_kb = positive_or(given, value_size_field, otherwise.value_kb);
+  out.txn_ops = static_cast<int>(positive_or(given, max_changes_field, otherwise.txn_ops));
   return out;
 }
 
 // `next` holds the limits that the service will have from some unannounced moment on.
 StateLimits parse_state_limits(const Json& state) {
-  for (const char* name : {"rps", "write_rps", "value_kb", "txn_ops"}) need_positive(state, name);
+  for (const char* name : {rps_field, write_rps_field, value_size_field, max_changes_field})
+    need_positive(state, name);
   const StateLimits present = state_limits_or(state, {});
-  if (find(state, "next") == nullptr) return present;
-  return lower_of(present, state_limits_or(need_section(state, "next"), present));
+  if (find(state, next_limits_field) == nullptr) return present;
+  return lower_of(present, state_limits_or(need_section(state, next_limits_field), present));
 }
 
-void parse_limits(const Json& given, Settings& out) {
-  const Json& workers = need_section(given, "workers");
-  out.heartbeat_interval = need_positive_seconds(workers, "report_s");
-  out.worker_lease = need_positive_seconds(workers, "lease_s");
+void parse_worker_settings(const Json& workers, Settings& out) {
+  out.heartbeat_interval = need_positive_seconds(workers, heartbeat_interval_field);
+  out.worker_lease = need_positive_seconds(workers, lease_field);
   out.cancel_timeout = need_positive_seconds(workers, "cancel_s");
   out.gang_times = parse_gang_times(workers);
-  out.state_limits = parse_state_limits(need_section(given, "state"));
-  const Json& cloud = need_section(given, "cloud");
-  out.cloud_rps = need_positive(cloud, "rps");
+}
+
+void parse_cloud_settings(const Json& cloud, Settings& out) {
+  out.cloud_rps = need_positive(cloud, rps_field);
   out.list_lag = need_seconds(cloud, "list_lag_s");
-  const Json& machine = need_section(given, "machine_limits");
-  out.sockets = need_positive(machine, "sockets");
+}
+
+void parse_machine_limits(const Json& limits, Settings& out) {
+  out.sockets = need_positive(limits, sockets_field);
+  // Not used, but checked where they are given.
   for (const char* name : {"core_share", "ram_mb"})
-    if (find(machine, name) != nullptr) need_positive(machine, name);
-  out.max_clock_offset = Seconds{amount_or(given, "time_bound_ms", 100) / 1000};
+    if (find(limits, name) != nullptr) need_positive(limits, name);
 }
 
-// What each alone may be and both together can never work with.
-void check_together(const Settings& out) {
-  // A leader that is cut off has to fall silent early enough for leases to end by then.
+void parse_limits(const Json& given, Settings& out) {
+  parse_worker_settings(need_section(given, "workers"), out);
+  out.state_limits = parse_state_limits(need_section(given, "state"));
+  parse_cloud_settings(need_section(given, "cloud"), out);
+  parse_machine_limits(need_section(given, "machine_limits"), out);
+  out.max_clock_offset = Seconds{amount_or(given, "time_bound_ms", default_clock_offset_ms) / 1000};
+}
+
+// Rejects values that are valid alone and cannot work together.
+void check_consistency(const Settings& out) {
+  // A leader that is cut off must stop responding early enough for leases to expire by then.
   if (out.worker_lease >= out.cancel_timeout)
-    throw DecodeError("lease_s: expected less than cancel_s, got " +
-                      std::to_string(out.worker_lease.count()));
+    throw DecodeError::expected(
+        lease_field, "less than cancel_s, got " + std::to_string(out.worker_lease.count()));
   if (out.heartbeat_interval >= out.worker_lease)
-    throw DecodeError("report_s: expected less than lease_s, got " +
-                      std::to_string(out.heartbeat_interval.count()));
-  // A final record is two changes: it replaces the job's.
+    throw DecodeError::expected(
+        heartbeat_interval_field,
+        "less than lease_s, got " + std::to_string(out.heartbeat_interval.count()));
+  // A final record takes two changes, since it replaces the job's record.
   if (out.state_limits.txn_ops < constants::min_txn_ops)
-    throw DecodeError("txn_ops: expected at least " + std::to_string(constants::min_txn_ops));
+    throw DecodeError::expected(max_changes_field,
+                                "at least " + std::to_string(constants::min_txn_ops));
   const auto least = constants::min_own_sockets + 2 * out.peers.size() + 1;
   if (out.sockets < static_cast<double>(least))
-    throw DecodeError("sockets: expected at least " + std::to_string(least) +
-                      " for the calls to other services, the siblings and one worker");
+    throw DecodeError::expected(
+        sockets_field, "at least " + std::to_string(least) +
+                           " for the calls to other services, the siblings and one worker");
 }
 
-// Aims of other kinds are not needed here, nor is the list itself.
+// The list is optional, and aims of other kinds are not used.
 void parse_objectives(const Json& given, Settings& out) {
-  if (find(given, "objectives") == nullptr) return;
-  for (const Json& each : need_list(given, "objectives")) {
-    if (!each.is_object()) throw DecodeError("objectives: expected objects");
+  if (find(given, objectives_field) == nullptr) return;
+  for (const Json& each : need_list(given, objectives_field)) {
+    if (!each.is_object()) throw DecodeError::expected(objectives_field, "objects");
     if (need_text(each, "kind") != "finished") continue;
     out.finish_aims.push_back({need_text(each, "class"), need_positive_seconds(each, "within_s")});
   }
 }
 
+void parse_addresses(const Json& root, Settings& out) {
+  out.name = need_text(root, name_field);
+  out.zone = need_text(root, zone_field);
+  out.listen = need_endpoint(root, "bind");
+  out.peer_listen = need_endpoint(root, "peer_bind");
+  for (const Json& each : need_list(root, "siblings"))
+    out.peers.push_back({need_text(each, name_field), need_text(each, zone_field),
+                         need_endpoint(each, "peer_addr")});
+  const Json& services = need_section(root, "services");
+  out.cloud = need_endpoint(services, "cloud");
+  out.state = need_endpoint(services, "state");
+}
+
 }  // namespace
 
 Seconds GangTimes::task_replacement_window() const {
@@ -140,21 +185,12 @@
 Settings parse_settings(const std::string& text) {
   const Json root = parse_object(text);
   Settings out;
-  out.name = need_text(root, "member");
-  out.zone = need_text(root, "site");
-  out.listen = need_endpoint(root, "bind");
-  out.peer_listen = need_endpoint(root, "peer_bind");
-  for (const Json& each : need_list(root, "siblings"))
-    out.peers.push_back(
-        {need_text(each, "member"), need_text(each, "site"), need_endpoint(each, "peer_addr")});
-  const Json& services = need_section(root, "services");
-  out.cloud = need_endpoint(services, "cloud");
-  out.state = need_endpoint(services, "state");
+  parse_addresses(root, out);
   const Json& given = need_section(root, "settings");
-  for (const Json& each : need_list(given, "zones")) out.zones.push_back(as_text(each, "zones"));
+  out.zones = need_texts(given, "zones");
   for (const Json& each : need_list(given, "teams")) out.teams.push_back(parse_team(each));
   parse_limits(given, out);
-  check_together(out);
+  check_consistency(out);
   parse_objectives(given, out);
   return out;
 }
--- a/src/protocol/settings.hpp
+++ b/src/protocol/settings.hpp
@@ -1,4 +1,5 @@
-// The settings file that the platform hands over (DEPLOY), checked.
+/// \file
+/// The settings file that the platform hands over (DEPLOY), checked.
 #pragma once
 
 #include <optional>
@@ -11,32 +12,38 @@
 
 namespace poppystile::protocol {
 
+/// Another controller of the same cluster.
 struct PeerSettings {
   std::string name;
   std::string zone;
   transport::Endpoint address;
 };
 
+/// What a team is given, and its limits; 0 for none.
 struct TeamSettings {
   std::string name;
-  double cpus = 0, cpus_max = 0, gpus = 0, gpus_max = 0;  // 0: none
+  double cpus = 0;
+  double cpus_max = 0;
+  double gpus = 0;
+  double gpus_max = 0;
 };
 
-// Of the users' aims, those on when jobs finish: within so many seconds for a class.
+/// A users' aim: jobs of the class finish within this time.
 struct FinishAim {
   std::string job_class;
   Seconds within{0};
 };
 
-// How long workers wait for the other tasks of a gang.
+/// How long workers wait for the other tasks of a gang.
 struct GangTimes {
-  Seconds assembly_timeout{0};     // for the gang to be complete
-  Seconds peer_loss_detection{0};  // until the loss of another task is noticed
+  Seconds assembly_timeout{0};     ///< For the gang to be complete.
+  Seconds peer_loss_detection{0};  ///< Until the loss of another task is noticed.
 
   /// How long after the placement of an attempt that is still assembling a lost task is replaced.
   Seconds task_replacement_window() const;
 };
 
+/// The settings of one controller; the defaults are those of tests.
 struct Settings {
   std::string name;
   std::string zone;
@@ -51,16 +58,17 @@
   Seconds heartbeat_interval{1};
   Seconds worker_lease{10};
   Seconds cancel_timeout{30};
-  std::optional<GangTimes> gang_times;  // without them no gang can be run
-  StateLimits state_limits;             // the lower of the present and the coming ones
+  std::optional<GangTimes> gang_times;  ///< Nothing: no gang can be run.
+  StateLimits state_limits;             ///< The lower of the present and the announced ones.
   double cloud_rps = 1;
   Seconds list_lag{5};
   double sockets = 256;
   Seconds max_clock_offset{0.1};
 };
 
-// Throws DecodeError naming the field and what was expected.
+/// Throws DecodeError naming the field and what was expected.
 Settings parse_settings(const std::string& text);
+/// Reads IPv4:PORT; throws DecodeError naming the field `name`.
 transport::Endpoint parse_endpoint(const std::string& text, const char* name);
 
 }  // namespace poppystile::protocol
--- a/src/protocol/state_limits.hpp
+++ b/src/protocol/state_limits.hpp
@@ -10,18 +10,22 @@
 
 namespace poppystile::protocol {
 
+/// Limits of the state service.
 struct StateLimits {
-  double rps = 100;
-  double write_rps = 20;
-  double value_kb = 8;  // KiB of one value
-  int txn_ops = 16;     // changes in one transaction
+  double rps = 100;       ///< Requests a second.
+  double write_rps = 20;  ///< Changes a second.
+  double value_kb = 8;    ///< KiB of one value.
+  int txn_ops = 16;       ///< Changes in one transaction.
 
   /// Bytes that a value may have as we write it; what remains is for another encoder's white space
   /// and for the frame around entries.
   std::size_t max_value_bytes() const {
     return static_cast<std::size_t>(value_kb * 1024 * constants::value_fill_share);
   }
+
+  /// Changes that one transaction may have.
   std::size_t max_changes() const { return static_cast<std::size_t>(txn_ops); }
+
   /// PROTOCOL allows four conditions for each change.
   std::size_t max_conditions() const { return 4 * max_changes(); }
 };
--- a/src/protocol/state_messages.cpp
+++ b/src/protocol/state_messages.cpp
@@ -1,7 +1,57 @@
 #include "protocol/state_messages.hpp"
 
+#include "protocol/wire_names.hpp"
+
 namespace poppystile::protocol {
 
+namespace {
+
+// Fields of a single message.
+constexpr const char* failed_keys_field = "failed";
+constexpr const char* lease_ttl_field = "ttl_ms";
+
+// The state service's text for a lease that it does not know.
+constexpr const char* unknown_lease_text = "no such lease";
+
+std::string field_prefix(const char* name) { return "\"" + std::string(name) + "\":"; }
+
+std::string encode_condition(const Condition& condition) {
+  return Json{{wire::key, condition.key}, {wire::version, condition.version}}.dump();
+}
+
+// Values are JSON text already, so the change is put together around them.
+std::string encode_change(const Change& change) {
+  if (!change.value) return Json{{wire::remove, change.key}}.dump();
+  std::string out = "{" + field_prefix(wire::write) + Json(change.key).dump() + "," +
+                    field_prefix(wire::value) + *change.value;
+  if (change.lease != 0) out += "," + field_prefix(wire::lease) + std::to_string(change.lease);
+  return out + "}";
+}
+
+template <typename Item>
+std::string encode_list(const std::vector<Item>& items, std::string (*encode)(const Item&)) {
+  std::string out = "[";
+  for (const auto& each : items) {
+    if (out.size() > 1) out += ",";
+    out += encode(each);
+  }
+  return out + "]";
+}
+
+Entry parse_entry_object(const Json& object) {
+  return {need_text(object, wire::key), need(object, wire::value),
+          need_count(object, wire::version)};
+}
+
+WatchEvent parse_watch_event(const Json& object) {
+  if (find(object, wire::write) == nullptr)
+    return {need_text(object, wire::remove), std::nullopt, need_count(object, wire::version)};
+  return {need_text(object, wire::write), need(object, wire::value),
+          need_count(object, wire::version)};
+}
+
+}  // namespace
+
 std::string key_path(const std::string& key) { return "/keys/" + key; }
 
 std::string list_keys_path(const std::string& prefix, const std::string& after, int limit) {
@@ -20,81 +70,48 @@
 }
 
 std::string encode_transaction(const Transaction& transaction) {
-  // Values are JSON text already, so the body is put together around them.
-  std::string out = R"({"when":[)";
-  for (std::size_t i = 0; i < transaction.conditions.size(); ++i) {
-    const auto& each = transaction.conditions[i];
-    out += (i == 0 ? "" : ",") + Json{{"key", each.key}, {"stamp", each.version}}.dump();
-  }
-  out += R"(],"apply":[)";
-  for (std::size_t i = 0; i < transaction.changes.size(); ++i) {
-    const auto& each = transaction.changes[i];
-    if (i > 0) out += ",";
-    if (!each.value) {
-      out += Json{{"remove", each.key}}.dump();
-      continue;
-    }
-    out += R"({"write":)" + Json(each.key).dump() + R"(,"data":)" + *each.value;
-    if (each.lease != 0) out += R"(,"pass":)" + std::to_string(each.lease);
-    out += "}";
-  }
-  return out + "]}";
+  return "{" + field_prefix("when") + encode_list(transaction.conditions, encode_condition) + "," +
+         field_prefix("apply") + encode_list(transaction.changes, encode_change) + "}";
 }
 
 std::string encode_lease_request(std::chrono::milliseconds ttl) {
-  return Json{{"ttl_ms", ttl.count()}}.dump();
+  return Json{{lease_ttl_field, ttl.count()}}.dump();
 }
 
 std::uint64_t parse_lease(const std::string& body) {
-  return need_count(parse_object(body), "pass");
+  return need_count(parse_object(body), wire::lease);
 }
 
 std::uint64_t parse_revision(const std::string& body) {
-  return need_count(parse_object(body), "epoch");
+  return need_count(parse_object(body), wire::revision);
 }
 
 std::vector<std::string> parse_failed_keys(const std::string& body) {
-  const Json root = parse_object(body);
-  std::vector<std::string> out;
-  for (const Json& each : need_list(root, "failed")) out.push_back(as_text(each, "failed"));
-  return out;
+  return need_texts(parse_object(body), failed_keys_field);
 }
 
-namespace {
-Entry entry_of(const Json& each) {
-  return {need_text(each, "key"), need(each, "data"), need_count(each, "stamp")};
-}
-}  // namespace
-
-Entry parse_entry(const std::string& body) { return entry_of(parse_object(body)); }
+Entry parse_entry(const std::string& body) { return parse_entry_object(parse_object(body)); }
 
 EntryPage parse_entries(const std::string& body) {
   const Json root = parse_object(body);
   EntryPage out;
-  for (const Json& each : need_list(root, "entries")) out.entries.push_back(entry_of(each));
-  out.more = need_flag(root, "more");
-  out.revision = need_count(root, "epoch");
+  for (const Json& each : need_list(root, "entries"))
+    out.entries.push_back(parse_entry_object(each));
+  out.more = need_flag(root, wire::more);
+  out.revision = need_count(root, wire::revision);
   return out;
 }
 
 WatchPage parse_watch(const std::string& body) {
   const Json root = parse_object(body);
   WatchPage out;
-  out.revision = need_count(root, "epoch");
-  for (const Json& each : need_list(root, "log")) {
-    const Json* written = find(each, "write");
-    if (written != nullptr) {
-      out.events.push_back(
-          {as_text(*written, "write"), need(each, "data"), need_count(each, "stamp")});
-    } else {
-      out.events.push_back({need_text(each, "remove"), std::nullopt, need_count(each, "stamp")});
-    }
-  }
+  out.revision = need_count(root, wire::revision);
+  for (const Json& each : need_list(root, "log")) out.events.push_back(parse_watch_event(each));
   return out;
 }
 
 bool names_expired_lease(const std::string& body) {
-  return body.find("no such lease") != std::string::npos;
+  return body.find(unknown_lease_text) != std::string::npos;
 }
 
 }  // namespace poppystile::protocol
--- a/src/protocol/submission.hpp
+++ b/src/protocol/submission.hpp
@@ -1,4 +1,5 @@
-// What users send and are told.
+/// \file
+/// Jobs as users submit them; job records in the state service have the same form.
 #pragma once
 
 #include <cstdint>
@@ -6,36 +7,17 @@
 #include <string>
 #include <vector>
 
+#include "clock.hpp"
 #include "protocol/json.hpp"
+#include "protocol/resources.hpp"
 
 namespace poppystile::protocol {
 
-// Amounts are kept as whole thousandths, so that sums never drift.
-struct Resources {
-  std::int64_t cpus = 0;
-  std::int64_t gpus = 0;
-  std::int64_t memory = 0;
-
-  Resources& operator+=(const Resources& o) {
-    cpus += o.cpus, gpus += o.gpus, memory += o.memory;
-    return *this;
-  }
-  Resources& operator-=(const Resources& o) {
-    cpus -= o.cpus, gpus -= o.gpus, memory -= o.memory;
-    return *this;
-  }
-  bool fits(const Resources& room) const {
-    return cpus <= room.cpus && gpus <= room.gpus && memory <= room.memory;
-  }
-  // How many times this fits into `room`.
-  std::int64_t times_in(const Resources& room) const;
-};
-
-// A gang is an array whose tasks run at the same time or not at all.
+/// A gang is an array whose tasks run at the same time or not at all.
 enum class JobKind : std::uint8_t { array, service, gang };
 enum class Priority : std::uint8_t { low, normal, high, production };
-enum class JobState : std::uint8_t { queued, running, done, cancelled };
 
+/// What a user asks to be run.
 struct JobSpec {
   std::string id;
   std::string job_class;
@@ -43,36 +25,26 @@
   JobKind kind = JobKind::array;
   Priority priority = Priority::normal;
   std::uint32_t tasks = 0;
-  Resources each;
-  std::optional<std::vector<std::string>> types;
-  std::optional<std::string> zone;
-  bool one_zone = false;
-  bool spread = false;
-  bool spot = false;
+  Resources each;                                 ///< Of one task.
+  std::optional<std::vector<std::string>> types;  ///< Allowed machine types; nothing: all.
+  std::optional<std::string> zone;                ///< The only allowed zone; nothing: all.
+  bool one_zone = false;                          ///< All tasks in the same zone.
+  bool spread = false;                            ///< Tasks on different machines.
+  bool spot = false;                              ///< May run on spot machines.
   std::string image;
   double image_gb = 0;
   Seconds estimated_run_time{0};
   Seconds checkpoint_interval{0};
   Seconds checkpoint_save_time{0};
-  std::optional<Seconds> deadline;
+  std::optional<Seconds> deadline;  ///< After submission.
 };
 
+/// Whether the id has the form that users give their jobs.
 bool valid_job_id(const std::string& id);
-// Throws DecodeError with a short reason.
+
+/// Throws DecodeError with the first field that is missing or invalid.
 JobSpec parse_submission(const Json& body);
+/// The inverse of `parse_submission`; fields without a value are left out.
 Json encode_submission(const JobSpec& job);
 
-std::string encode_submitted(const std::string& id, JobState state);
-std::string encode_job_status(const std::string& id, JobState state, std::uint64_t done,
-                              std::uint64_t running);
-std::string encode_error(const std::string& reason);
-const char* to_string(JobState state);
-
-// Where a user's request goes.
-struct Route {
-  enum class Kind { submit, show, cancel, up, heartbeat, none } kind = Kind::none;
-  std::string id;
-};
-Route parse_route(const std::string& target);
-
 }  // namespace poppystile::protocol
--- a/src/protocol/worker_messages.cpp
+++ b/src/protocol/worker_messages.cpp
@@ -2,23 +2,48 @@
 
 #include <charconv>
 #include <map>
+#include <utility>
 
 #include "constants.hpp"
 #include "protocol/json.hpp"
+#include "protocol/wire_names.hpp"
 
 namespace poppystile::protocol {
 
 namespace {
 
+// bytes; leaves the other half of a name in a journal entry for what stands beside the machine.
+constexpr std::size_t max_machine_name_bytes = constants::max_name_bytes / 2;
+
+// Fields of a heartbeat alone.
+constexpr const char* address_field = "addr";
+constexpr const char* incarnation_field = "shift";
+constexpr const char* sequence_field = "tick";
+constexpr const char* preemption_notice_field = "recall_s";
+constexpr const char* cause_field = "cause";
+constexpr const char* saved_field = "stored";
+
+// Fields of commands and redirects alone.
+constexpr const char* commands_field = "orders";
+constexpr const char* operation_field = "verb";
+constexpr const char* grace_field = "wind_down_s";
+constexpr const char* leader_field = "foreman";
+
+/// The value of `word`, or `otherwise` for a word that this version does not know.
+template <typename Enum>
+Enum value_or(const std::map<std::string, Enum>& words, const std::string& word, Enum otherwise) {
+  const auto found = words.find(word);
+  return found == words.end() ? otherwise : found->second;
+}
+
 TaskState parse_state(const std::string& word) {
   static const std::map<std::string, TaskState> words = {{"pulling", TaskState::fetching},
                                                          {"waiting", TaskState::waiting},
                                                          {"running", TaskState::running},
                                                          {"saving", TaskState::saving},
                                                          {"exited", TaskState::exited}};
-  const auto it = words.find(word);
-  // A state this version does not know still occupies its machine.
-  return it == words.end() ? TaskState::running : it->second;
+  // A task in an unknown state still occupies its machine.
+  return value_or(words, word, TaskState::running);
 }
 
 ExitCause parse_cause(const std::string& word) {
@@ -27,26 +52,31 @@
       {"error", ExitCause::error},     {"no_room", ExitCause::no_room},
       {"busy", ExitCause::busy},       {"unknown", ExitCause::unknown},
       {"peers", ExitCause::peer_lost}, {"alone", ExitCause::gang_incomplete}};
-  const auto it = words.find(word);
-  return it == words.end() ? ExitCause::error : it->second;
+  return value_or(words, word, ExitCause::error);
 }
 
 ReportedTask parse_task(const Json& each) {
-  if (!each.is_object()) throw DecodeError("pieces holds no object");
+  if (!each.is_object()) throw DecodeError(wire::tasks, "holds no object");
   ReportedTask out;
-  if (!split_task_name(need_text(each, "piece"), out.job, out.index))
-    throw DecodeError("piece is malformed");
-  out.attempt = need_count(each, "try");
-  out.state = parse_state(need_text(each, "stage"));
-  if (out.state == TaskState::exited) {
-    out.cause = parse_cause(need_text(each, "cause"));
-    const Json* saved = find(each, "stored");
-    out.saved = saved != nullptr && as_flag(*saved, "stored");
-  }
+  if (!split_task_name(need_text(each, wire::task), out.job, out.index))
+    throw DecodeError(wire::task, "is malformed");
+  out.attempt = need_count(each, wire::attempt);
+  out.state = parse_state(need_text(each, wire::state));
+  if (out.state != TaskState::exited) return out;
+  out.cause = parse_cause(need_text(each, cause_field));
+  out.saved = find(each, saved_field) != nullptr && need_flag(each, saved_field);
   return out;
 }
 
-const char* op_word(Command::Op op) {
+std::string need_machine_name(const Json& root) {
+  std::string name = need_text(root, wire::machine);
+  if (name.empty() || name.size() > max_machine_name_bytes ||
+      name.find_first_of(" /\n") != std::string::npos)
+    throw DecodeError(wire::machine, "is malformed");
+  return name;
+}
+
+const char* operation_word(Command::Op op) {
   switch (op) {
     case Command::Op::start:
       return "start";
@@ -58,13 +88,38 @@
   return "reap";
 }
 
+Json encode_command(const Command& command) {
+  Json out = {{operation_field, operation_word(command.op)},
+              {wire::task, task_name(command.job, command.index)},
+              {wire::attempt, command.attempt}};
+  if (command.op == Command::Op::stop) out[grace_field] = command.grace.count();
+  return out;
+}
+
 }  // namespace
 
 const char* to_string(ExitCause cause) {
-  static constexpr const char* words[] = {"none",    "done",      "stopped",
-                                          "error",   "no_room",   "busy",
-                                          "unknown", "peer lost", "gang incomplete"};
-  return words[static_cast<std::size_t>(cause)];
+  switch (cause) {
+    case ExitCause::none:
+      return "none";
+    case ExitCause::done:
+      return "done";
+    case ExitCause::stopped:
+      return "stopped";
+    case ExitCause::error:
+      return "error";
+    case ExitCause::no_room:
+      return "no_room";
+    case ExitCause::busy:
+      return "busy";
+    case ExitCause::unknown:
+      return "unknown";
+    case ExitCause::peer_lost:
+      return "peer_lost";
+    case ExitCause::gang_incomplete:
+      return "gang_incomplete";
+  }
+  return "unknown";
 }
 
 std::string task_name(const std::string& job, std::uint32_t index) {
@@ -83,37 +138,28 @@
 Heartbeat parse_heartbeat(const std::string& body) {
   const Json root = parse_object(body);
   Heartbeat out;
-  out.machine = need_text(root, "stile");
-  if (out.machine.empty() || out.machine.size() > constants::max_name_bytes / 2 ||
-      out.machine.find_first_of(" /\n") != std::string::npos)
-    throw DecodeError("stile is malformed");
-  out.address = need_text(root, "addr");
-  out.type = need_text(root, "build");
-  out.zone = need_text(root, "yard");
-  out.spot = need_flag(root, "loaners");
-  out.incarnation = need_count(root, "shift");
-  out.sequence = need_count(root, "tick");
-  out.token = need_count(root, "baton");
-  if (const Json* notice = find(root, "recall_s"))
-    out.preemption_notice = as_seconds(*notice, "recall_s");
-  for (const Json& each : need_list(root, "pieces")) out.tasks.push_back(parse_task(each));
+  out.machine = need_machine_name(root);
+  out.address = need_text(root, address_field);
+  out.type = need_text(root, wire::machine_type);
+  out.zone = need_text(root, wire::zone);
+  out.spot = need_flag(root, wire::spot);
+  out.incarnation = need_count(root, incarnation_field);
+  out.sequence = need_count(root, sequence_field);
+  out.token = need_count(root, wire::fencing_token);
+  if (find(root, preemption_notice_field) != nullptr)
+    out.preemption_notice = need_seconds(root, preemption_notice_field);
+  for (const Json& each : need_list(root, wire::tasks)) out.tasks.push_back(parse_task(each));
   return out;
 }
 
 std::string encode_commands(std::uint64_t token, const std::vector<Command>& commands) {
-  Json orders = Json::array();
-  for (const auto& each : commands) {
-    Json order = {{"verb", op_word(each.op)},
-                  {"piece", task_name(each.job, each.index)},
-                  {"try", each.attempt}};
-    if (each.op == Command::Op::stop) order["wind_down_s"] = each.grace.count();
-    orders.push_back(std::move(order));
-  }
-  return Json{{"baton", token}, {"orders", std::move(orders)}}.dump();
+  Json list = Json::array();
+  for (const auto& each : commands) list.push_back(encode_command(each));
+  return Json{{wire::fencing_token, token}, {commands_field, std::move(list)}}.dump();
 }
 
 std::string encode_redirect(const std::string& leader) {
-  return leader.empty() ? "{}" : Json{{"foreman", leader}}.dump();
+  return leader.empty() ? "{}" : Json{{leader_field, leader}}.dump();
 }
 
 }  // namespace poppystile::protocol
--- a/src/protocol/worker_messages.hpp
+++ b/src/protocol/worker_messages.hpp
@@ -1,4 +1,5 @@
-// Reports of workers and the commands that answer them.
+/// \file
+/// Heartbeats of workers, and the commands that respond to them.
 #pragma once
 
 #include <cstdint>
@@ -10,13 +11,16 @@
 
 namespace poppystile::protocol {
 
+/// The state of a task as its worker reports it.
 enum class TaskState : std::uint8_t {
   fetching,
-  waiting,  // has its image, waits for the other tasks of its gang
+  waiting,  ///< Has its image, waits for the other tasks of its gang.
   running,
   saving,
   exited
 };
+
+/// Why a task has exited; `none` unless it has.
 enum class ExitCause : std::uint8_t {
   none,
   done,
@@ -25,10 +29,11 @@
   no_room,
   busy,
   unknown,
-  peer_lost,       // another task of its gang is gone
-  gang_incomplete  // its gang was not complete in time
+  peer_lost,       ///< Another task of its gang is gone.
+  gang_incomplete  ///< Its gang was not complete in time.
 };
-// For logs.
+
+/// For logs; not the words on the wire.
 const char* to_string(ExitCause cause);
 
 struct ReportedTask {
@@ -37,38 +42,47 @@
   std::uint64_t attempt = 0;
   TaskState state = TaskState::fetching;
   ExitCause cause = ExitCause::none;
-  bool saved = false;
+  bool saved = false;  ///< Whether an exited task has saved its progress.
 };
 
+/// What a worker reports, in its own words about itself.
 struct Heartbeat {
   std::string machine;
   std::string address;
   std::string type;
   std::string zone;
   bool spot = false;
-  std::uint64_t incarnation = 0;
-  std::uint64_t sequence = 0;
-  std::uint64_t token = 0;
-  std::optional<Seconds> preemption_notice;
+  std::uint64_t incarnation = 0;  ///< Of the worker's process.
+  std::uint64_t sequence = 0;     ///< Counts the heartbeats of an incarnation.
+  std::uint64_t token = 0;        ///< The highest fencing token that the worker has seen.
+  std::optional<Seconds> preemption_notice;  ///< Time left; nothing: no notice was given.
   std::vector<ReportedTask> tasks;
 };
 
+/// What a worker is told to do with one task.
 struct Command {
-  enum class Op : std::uint8_t { start, stop, forget } op = Op::start;
+  enum class Op : std::uint8_t { start, stop, forget };
+
+  Op op = Op::start;
   std::string job;
   std::uint32_t index = 0;
   std::uint64_t attempt = 0;
-  Seconds grace{0};
+  Seconds grace{0};  ///< Of a stop: the time the task has to save its progress.
 };
 
-// Throws DecodeError.
+/// Throws DecodeError. States and causes that this version does not know are no error.
 Heartbeat parse_heartbeat(const std::string& body);
+
+/// The response of the leader that holds `token`.
 std::string encode_commands(std::uint64_t token, const std::vector<Command>& commands);
-// Tells a worker to report elsewhere; empty when nobody is known to lead.
+
+/// Tells a worker to report to `leader`; empty when nobody is known to lead.
 std::string encode_redirect(const std::string& leader);
 
-// "req-000412/3" in one piece.
+/// The name of a task on the wire, such as "req-000412/3".
 std::string task_name(const std::string& job, std::uint32_t index);
+
+/// The inverse of `task_name`; false, with the arguments in any state, for a malformed name.
 bool split_task_name(const std::string& name, std::string& job, std::uint32_t& index);
 
 }  // namespace poppystile::protocol
--- a/src/storage/records.hpp
+++ b/src/storage/records.hpp
@@ -12,6 +12,7 @@
 #include "clock.hpp"
 #include "protocol/cloud_messages.hpp"
 #include "protocol/submission.hpp"
+#include "protocol/user_responses.hpp"
 
 namespace poppystile::storage {
 
