--- a/src/transport/event_loop.cpp
+++ b/src/transport/event_loop.cpp
@@ -1,17 +1,42 @@
 #include "transport/event_loop.hpp"
 
+#include <algorithm>
 #include <chrono>
 #include <cmath>
+#include <cstdint>
 #include <stdexcept>
 #include <utility>
 
+#include "transport/uv_handle.hpp"
+
 namespace poppystile::transport {
 
 namespace {
-struct OneShot {
-  uv_timer_t timer{};
+
+constexpr double seconds_per_nanosecond = 1e-9;
+constexpr double milliseconds_per_second = 1000.0;
+
+/// Owns itself until it has fired.
+struct OneShotTimer {
+  uv_timer_t handle{};
+  bool closing = false;
   std::function<void()> action;
+  UvHandle<OneShotTimer> self;
 };
+
+void fire(uv_timer_t* handle) {
+  auto* timer = static_cast<OneShotTimer*>(handle->data);
+  const auto action = std::move(timer->action);
+  timer->self.reset();
+  action();
+}
+
+/// Rounded up: a timer never fires early.
+std::uint64_t to_milliseconds(Seconds delay) {
+  return static_cast<std::uint64_t>(
+      std::ceil(std::max(0.0, delay.count()) * milliseconds_per_second));
+}
+
 }  // namespace
 
 EventLoop::EventLoop() {
@@ -21,7 +46,7 @@
 EventLoop::~EventLoop() { uv_loop_close(&loop_); }
 
 SteadyTime EventLoop::now() const {
-  return SteadyTime{Seconds{static_cast<double>(uv_hrtime()) * 1e-9}};
+  return SteadyTime{Seconds{static_cast<double>(uv_hrtime()) * seconds_per_nanosecond}};
 }
 
 WallTime EventLoop::wall_now() const {
@@ -29,24 +54,14 @@
 }
 
 void EventLoop::after(Seconds delay, std::function<void()> action) {
-  // libuv owns the handle until its close callback runs, hence the hand-over of ownership.
-  auto shot = std::make_unique<OneShot>();
-  shot->action = std::move(action);
-  uv_timer_init(&loop_, &shot->timer);
-  shot->timer.data = shot.get();
+  UvHandle<OneShotTimer> timer(new OneShotTimer);
+  uv_timer_init(&loop_, &timer->handle);
+  timer->handle.data = timer.get();
+  timer->action = std::move(action);
   uv_update_time(&loop_);
-  uv_timer_start(
-      &shot->timer,
-      [](uv_timer_t* timer) {
-        auto* self = static_cast<OneShot*>(timer->data);
-        auto todo = std::move(self->action);
-        uv_close(reinterpret_cast<uv_handle_t*>(timer), [](uv_handle_t* handle) {
-          std::unique_ptr<OneShot>(static_cast<OneShot*>(handle->data));
-        });
-        todo();
-      },
-      static_cast<std::uint64_t>(std::ceil(std::max(0.0, delay.count()) * 1000.0)), 0);
-  (void)shot.release();
+  uv_timer_start(&timer->handle, fire, to_milliseconds(delay), 0);
+  OneShotTimer& armed = *timer;
+  armed.self = std::move(timer);
 }
 
 void EventLoop::run() { uv_run(&loop_, UV_RUN_DEFAULT); }
--- a/src/transport/http_client.cpp
+++ b/src/transport/http_client.cpp
@@ -3,14 +3,32 @@
 #include <http_parser.h>
 
 #include <algorithm>
+#include <deque>
+#include <string_view>
 #include <utility>
 #include <vector>
 
 #include "constants.hpp"
+#include "transport/tcp_stream.hpp"
 
 namespace poppystile::transport {
 
-// One call. The deadline timer and the connection both hold it; whichever is first settles it.
+namespace {
+
+constexpr std::size_t read_buffer_bytes = 16384;
+
+std::string encode_request(const HttpRequest& request, const Endpoint& to) {
+  std::string out =
+      request.method + " " + request.target + " HTTP/1.1\r\nHost: " + to_string(to) + "\r\n";
+  if (!request.body.empty()) out += "Content-Type: application/json\r\n";
+  if (!request.body.empty() || request.method != "GET")
+    out += "Content-Length: " + std::to_string(request.body.size()) + "\r\n";
+  return out + "\r\n" + request.body;
+}
+
+}  // namespace
+
+/// One call. The deadline timer and the connection both hold it; whichever is first settles it.
 struct HttpClient::Exchange {
   HttpRequest request;
   std::function<void(HttpResponse)> done;
@@ -24,120 +42,84 @@
   }
 };
 
+/// The calls and connections of one remote address.
 struct HttpClient::Pool {
   Endpoint endpoint;
   std::deque<std::shared_ptr<Exchange>> waiting;
-  std::vector<Connection*> open;  // owned by libuv until their close callback
+  std::vector<std::shared_ptr<Connection>> open;
 };
 
-class HttpClient::Connection {
+/// One connection, which carries one call at a time. The callbacks of its stream hold it alive.
+class HttpClient::Connection : public std::enable_shared_from_this<Connection> {
  public:
-  Connection(HttpClient& client, Pool& pool) : client_(client), pool_(pool) {
-    uv_tcp_init(client.loop_.raw(), &tcp_);
-    tcp_.data = this;
+  Connection(HttpClient& client, Pool& pool) : client_(client), pool_(pool), stream_(client.loop_) {
     http_parser_init(&parser_, HTTP_RESPONSE);
     parser_.data = this;
-    sockaddr_in address{};
-    uv_ip4_addr(pool.endpoint.host.c_str(), pool.endpoint.port, &address);
-    connect_.data = this;
-    const int rc = uv_tcp_connect(&connect_, &tcp_, reinterpret_cast<const sockaddr*>(&address),
-                                  [](uv_connect_t* request, int status) {
-                                    static_cast<Connection*>(request->data)->connected(status);
-                                  });
-    if (rc != 0) failed_at_once_ = true;
   }
 
-  bool idle() const { return !closing_ && ready_ && !current_; }
-  bool free_to_take() const { return !closing_ && !current_; }
-  bool failed_at_once() const { return failed_at_once_; }
+  bool is_idle() const { return !closing_ && connected_ && !current_; }
+  bool is_new() const { return !closing_ && !connected_ && !connecting_; }
 
-  void take(std::shared_ptr<Exchange> exchange) {
+  void connect() {
+    connecting_ = true;
+    const bool started = stream_.connect(
+        pool_.endpoint,
+        [self = shared_from_this()](bool connected) { self->on_connected(connected); });
+    if (!started) close();
+  }
+
+  void send(std::shared_ptr<Exchange> exchange) {
     current_ = std::move(exchange);
     current_->connection = this;
-    if (ready_) send();
+    if (connected_) write_request();
   }
 
   void close() {
     if (std::exchange(closing_, true)) return;
-    uv_close(reinterpret_cast<uv_handle_t*>(&tcp_), [](uv_handle_t* handle) {
-      auto* self = static_cast<Connection*>(handle->data);
-      std::unique_ptr<Connection> owned(self);
-    });
-    auto lost = std::move(current_);
-    current_ = nullptr;
-    client_.closed(pool_, this);
-    if (lost) {
-      lost->connection = nullptr;
-      lost->settle({});
+    const auto self = shared_from_this();  // the pool may hold the last other reference
+    stream_.close();
+    auto unanswered = std::exchange(current_, nullptr);
+    client_.on_closed(pool_, this);
+    if (unanswered) {
+      unanswered->connection = nullptr;
+      unanswered->settle({});
     }
   }
 
  private:
-  struct Write {
-    uv_write_t request{};
-    std::string data;
-  };
-
-  void connected(int status) {
-    if (closing_) return;
-    if (status != 0) return close();
-    ready_ = true;
-    uv_tcp_nodelay(&tcp_, 1);
-    uv_read_start(
-        reinterpret_cast<uv_stream_t*>(&tcp_),
-        [](uv_handle_t* handle, std::size_t, uv_buf_t* buffer) {
-          auto* self = static_cast<Connection*>(handle->data);
-          *buffer = uv_buf_init(self->input_, sizeof(self->input_));
-        },
-        [](uv_stream_t* stream, ssize_t count, const uv_buf_t* buffer) {
-          static_cast<Connection*>(stream->data)->received(count, buffer->base);
-        });
-    if (current_) send();
+  void on_connected(bool connected) {
+    if (!connected) return close();
+    connected_ = true;
+    stream_.set_nodelay();
+    stream_.start_reading(
+        read_buffer_bytes,
+        [self = shared_from_this()](std::string_view data) { self->on_data(data); },
+        [self = shared_from_this()] { self->on_end(); });
+    if (current_) write_request();
   }
 
-  void send() {
-    auto write = std::make_unique<Write>();
-    const auto& request = current_->request;
-    write->data = request.method + " " + request.target +
-                  " HTTP/1.1\r\nHost: " + pool_.endpoint.host + ":" +
-                  std::to_string(pool_.endpoint.port) + "\r\n";
-    if (!request.body.empty()) write->data += "Content-Type: application/json\r\n";
-    if (!request.body.empty() || request.method != "GET")
-      write->data += "Content-Length: " + std::to_string(request.body.size()) + "\r\n";
-    write->data += "\r\n" + request.body;
-    uv_buf_t buffer = uv_buf_init(write->data.data(), static_cast<unsigned>(write->data.size()));
-    write->request.data = write.get();
-    const int rc = uv_write(
-        &write->request, reinterpret_cast<uv_stream_t*>(&tcp_), &buffer, 1,
-        [](uv_write_t* done, int) { std::unique_ptr<Write>(static_cast<Write*>(done->data)); });
-    if (rc == 0) {
-      (void)write.release();
-    } else {
-      close();
-    }
+  void write_request() {
+    if (!stream_.write(encode_request(current_->request, pool_.endpoint))) close();
   }
 
-  void received(ssize_t count, const char* data) {
-    if (closing_ || count == 0) return;
-    if (count < 0) {
-      http_parser_execute(&parser_, &parser_settings(), nullptr, 0);
-      return close();
-    }
-    const auto used = http_parser_execute(&parser_, &parser_settings(), data, count);
+  void on_data(std::string_view data) {
+    const auto parsed = http_parser_execute(&parser_, &parser_settings(), data.data(), data.size());
     if (closing_) return;
-    if (used != static_cast<std::size_t>(count) ||
-        body_.size() > constants::max_response_body_bytes)
-      close();
+    if (parsed != data.size() || body_.size() > constants::max_response_body_bytes) close();
   }
 
-  void complete() {
-    const bool keep = http_should_keep_alive(&parser_) != 0;
-    auto finished = std::move(current_);
-    current_ = nullptr;
-    HttpResponse response{static_cast<int>(parser_.status_code), std::move(body_)};
-    body_.clear();
+  /// A body without a length ends with the connection.
+  void on_end() {
+    http_parser_execute(&parser_, &parser_settings(), nullptr, 0);
+    close();
+  }
+
+  void on_message_complete() {
+    const bool keep_alive = http_should_keep_alive(&parser_) != 0;
+    const auto finished = std::exchange(current_, nullptr);
+    HttpResponse response{static_cast<int>(parser_.status_code), std::exchange(body_, {})};
     if (finished) finished->connection = nullptr;
-    if (!keep || !finished) close();
+    if (!keep_alive || !finished) close();
     if (finished) finished->settle(std::move(response));
     if (!closing_) client_.pump(pool_);
   }
@@ -151,7 +133,7 @@
         return 0;
       };
       made.on_message_complete = [](http_parser* parser) {
-        static_cast<Connection*>(parser->data)->complete();
+        static_cast<Connection*>(parser->data)->on_message_complete();
         return 0;
       };
       return made;
@@ -161,42 +143,51 @@
 
   HttpClient& client_;
   Pool& pool_;
-  uv_tcp_t tcp_{};
-  uv_connect_t connect_{};
+  TcpStream stream_;
   http_parser parser_{};
-  char input_[16384];
   std::string body_;
   std::shared_ptr<Exchange> current_;
-  bool ready_ = false;
+  bool connecting_ = false;
+  bool connected_ = false;
   bool closing_ = false;
-  bool failed_at_once_ = false;
 };
 
 HttpClient::HttpClient(EventLoop& loop) : loop_(loop) {}
 HttpClient::~HttpClient() = default;
 
+HttpClient::Pool& HttpClient::pool_of(const Endpoint& to) {
+  auto& pool = pools_[to_string(to)];
+  if (!pool) {
+    pool = std::make_unique<Pool>();
+    pool->endpoint = to;
+  }
+  return *pool;
+}
+
 void HttpClient::call(const Endpoint& to, HttpRequest request, Seconds timeout,
                       std::function<void(HttpResponse)> done) {
-  auto& slot = pools_[to.host + ":" + std::to_string(to.port)];
-  if (!slot) {
-    slot = std::make_unique<Pool>();
-    slot->endpoint = to;
-  }
+  Pool& pool = pool_of(to);
   auto exchange = std::make_shared<Exchange>();
   exchange->request = std::move(request);
   exchange->done = std::move(done);
-  if (slot->waiting.size() >= constants::client_backlog) {
-    loop_.after(Seconds{0}, [exchange] { exchange->settle({}); });
-    return;
-  }
+  if (pool.waiting.size() >= constants::client_backlog)
+    return loop_.after(Seconds{0}, [exchange] { exchange->settle({}); });
   loop_.after(timeout, [exchange] {
     if (exchange->settled) return;
     // The connection may be cut without an error: never reuse it.
     if (exchange->connection != nullptr) return exchange->connection->close();
     exchange->settle({});
   });
-  slot->waiting.push_back(std::move(exchange));
-  pump(*slot);
+  pool.waiting.push_back(std::move(exchange));
+  pump(pool);
+}
+
+std::shared_ptr<HttpClient::Connection> HttpClient::free_connection(Pool& pool) {
+  const auto idle = std::find_if(pool.open.begin(), pool.open.end(),
+                                 [](const auto& each) { return each->is_idle(); });
+  if (idle != pool.open.end()) return *idle;
+  if (pool.open.size() >= constants::client_connections) return nullptr;
+  return pool.open.emplace_back(std::make_shared<Connection>(*this, pool));
 }
 
 void HttpClient::pump(Pool& pool) {
@@ -205,23 +196,17 @@
       pool.waiting.pop_front();
       continue;
     }
-    const auto idle = std::find_if(pool.open.begin(), pool.open.end(),
-                                   [](const Connection* each) { return each->idle(); });
-    Connection* chosen = idle == pool.open.end() ? nullptr : *idle;
-    if (chosen == nullptr) {
-      if (pool.open.size() >= constants::client_connections) return;
-      chosen = std::make_unique<Connection>(*this, pool).release();
-      pool.open.push_back(chosen);
-    }
+    const auto connection = free_connection(pool);
+    if (!connection) return;
     auto next = std::move(pool.waiting.front());
     pool.waiting.pop_front();
-    chosen->take(std::move(next));
-    if (chosen->failed_at_once()) chosen->close();
+    connection->send(std::move(next));
+    if (connection->is_new()) connection->connect();
   }
 }
 
-void HttpClient::closed(Pool& pool, Connection* connection) {
-  std::erase(pool.open, connection);
+void HttpClient::on_closed(Pool& pool, const Connection* connection) {
+  std::erase_if(pool.open, [&](const auto& each) { return each.get() == connection; });
   loop_.after(Seconds{0}, [this, &pool] { pump(pool); });
 }
 
--- a/src/transport/http_server.cpp
+++ b/src/transport/http_server.cpp
@@ -3,132 +3,121 @@
 #include <http_parser.h>
 #include <spdlog/spdlog.h>
 
+#include <memory>
 #include <optional>
-#include <stdexcept>
+#include <string>
+#include <string_view>
 #include <utility>
 
 #include "constants.hpp"
+#include "transport/timer.hpp"
 
 namespace poppystile::transport {
 
-class HttpServer::Connection : public std::enable_shared_from_this<HttpServer::Connection> {
+namespace {
+
+constexpr std::size_t read_buffer_bytes = 4096;
+
+std::string encode_response(const HttpResponse& response, bool keep_alive) {
+  std::string out = "HTTP/1.1 " + std::to_string(response.status) + " " +
+                    http_status_str(static_cast<http_status>(response.status)) +
+                    "\r\nContent-Type: application/json\r\nContent-Length: " +
+                    std::to_string(response.body.size()) + "\r\n";
+  if (response.retry_after > std::chrono::seconds{0})
+    out += "Retry-After: " + std::to_string(response.retry_after.count()) + "\r\n";
+  if (!keep_alive) out += "Connection: close\r\n";
+  return out + "\r\n" + response.body;
+}
+
+}  // namespace
+
+/// One connection. The callbacks of its stream hold it alive until libuv has closed it.
+class HttpServer::Connection : public std::enable_shared_from_this<Connection> {
  public:
-  explicit Connection(HttpServer& server) : server_(server) {
-    ++server_.open_;
+  explicit Connection(HttpServer& server)
+      : server_(server), stream_(server.loop_), idle_timer_(server.loop_, [this] { close(); }) {
+    ++server_.open_connections_;
     http_parser_init(&parser_, HTTP_REQUEST);
     parser_.data = this;
-    place_ = server_.ordinary_.insert(server_.ordinary_.end(), this);
+    ordinary_position_ = server_.ordinary_.insert(server_.ordinary_.end(), this);
   }
-  ~Connection() { --server_.open_; }
-
-  void shed() { close(); }
+  ~Connection() { --server_.open_connections_; }
+  Connection(const Connection&) = delete;
+  Connection& operator=(const Connection&) = delete;
 
+  /// Accepts the connection that waits; false if it failed.
   bool open() {
-    uv_tcp_init(server_.loop_.raw(), &tcp_);
-    uv_timer_init(server_.loop_.raw(), &idle_);
-    tcp_.data = this;
-    idle_.data = this;
-    self_ = shared_from_this();
-    if (uv_accept(reinterpret_cast<uv_stream_t*>(&server_.listener_),
-                  reinterpret_cast<uv_stream_t*>(&tcp_)) != 0) {
+    if (!stream_.accept(server_.listener_)) {
       close();
       return false;
     }
-    uv_tcp_nodelay(&tcp_, 1);
-    watch_idle();
-    uv_read_start(
-        reinterpret_cast<uv_stream_t*>(&tcp_),
-        [](uv_handle_t* handle, std::size_t, uv_buf_t* buffer) {
-          auto* self = static_cast<Connection*>(handle->data);
-          *buffer = uv_buf_init(self->input_, sizeof(self->input_));
-        },
-        [](uv_stream_t* stream, ssize_t count, const uv_buf_t* buffer) {
-          static_cast<Connection*>(stream->data)->received(count, buffer->base);
-        });
+    stream_.set_nodelay();
+    restart_idle_timer();
+    stream_.start_reading(
+        read_buffer_bytes,
+        [self = shared_from_this()](std::string_view data) { self->on_data(data); },
+        [self = shared_from_this()] { self->close(); });
     return true;
   }
 
+  void close() {
+    if (std::exchange(closing_, true)) return;
+    leave_ordinary();
+    stream_.close();
+    idle_timer_.close();
+  }
+
  private:
-  struct Write {
-    uv_write_t request{};
-    std::string data;
-  };
-
-  void watch_idle() {
-    uv_timer_start(
-        &idle_, [](uv_timer_t* timer) { static_cast<Connection*>(timer->data)->close(); },
-        static_cast<std::uint64_t>(constants::server_idle_timeout.count() * 1000), 0);
+  void restart_idle_timer() {
+    idle_timer_.restart(
+        std::chrono::duration_cast<std::chrono::milliseconds>(constants::server_idle_timeout));
   }
 
-  void received(ssize_t count, const char* data) {
-    if (closing_ || count == 0) return;
-    if (count < 0) return close();
-    watch_idle();
-    const auto used = http_parser_execute(&parser_, &parser_settings(), data, count);
-    if (!closing_ && used != static_cast<std::size_t>(count)) close();
+  void on_data(std::string_view data) {
+    restart_idle_timer();
+    const auto parsed = http_parser_execute(&parser_, &parser_settings(), data.data(), data.size());
+    if (!closing_ && parsed != data.size()) close();
   }
 
-  void complete() {
-    const bool keep = http_should_keep_alive(&parser_) != 0;
-    HttpRequest request{http_method_str(static_cast<http_method>(parser_.method)),
-                        std::move(target_), std::move(body_)};
-    target_.clear();
-    body_.clear();
-    if (server_.vital_(request)) leave_ordinary();
-    // Just heard, so not the longest silent any more.
-    if (place_) server_.ordinary_.splice(server_.ordinary_.end(), server_.ordinary_, *place_);
-    if (std::exchange(too_large_, false)) {
-      return reply({400, R"({"error":"body over 64 KiB"})"}, keep);
-    }
-    std::weak_ptr<Connection> weak = weak_from_this();
-    server_.handler_(request, [weak, keep](const HttpResponse& response) {
-      if (auto self = weak.lock()) self->reply(response, keep);
+  void on_message_complete() {
+    const bool keep_alive = http_should_keep_alive(&parser_) != 0;
+    const HttpRequest request{http_method_str(static_cast<http_method>(parser_.method)),
+                              std::exchange(target_, {}), std::exchange(body_, {})};
+    if (server_.is_vital_(request)) leave_ordinary();
+    move_to_most_recent();
+    if (std::exchange(body_too_large_, false))
+      return respond({400, R"({"error":"body over 64 KiB"})"}, keep_alive);
+    server_.handler_(request, [weak = weak_from_this(), keep_alive](const HttpResponse& response) {
+      if (const auto self = weak.lock()) self->respond(response, keep_alive);
     });
   }
 
   void leave_ordinary() {
-    if (place_) server_.ordinary_.erase(*place_);
-    place_.reset();
+    if (ordinary_position_) server_.ordinary_.erase(*ordinary_position_);
+    ordinary_position_.reset();
   }
 
-  void reply(const HttpResponse& response, bool keep) {
+  void move_to_most_recent() {
+    auto& ordinary = server_.ordinary_;
+    if (ordinary_position_) ordinary.splice(ordinary.end(), ordinary, *ordinary_position_);
+  }
+
+  void respond(const HttpResponse& response, bool keep_alive) {
     if (closing_) return;
-    auto write = std::make_unique<Write>();
-    write->data = "HTTP/1.1 " + std::to_string(response.status) + " " +
-                  http_status_str(static_cast<http_status>(response.status)) +
-                  "\r\nContent-Type: application/json\r\nContent-Length: " +
-                  std::to_string(response.body.size()) + "\r\n";
-    if (response.retry_after > std::chrono::seconds{0})
-      write->data += "Retry-After: " + std::to_string(response.retry_after.count()) + "\r\n";
-    if (!keep) write->data += "Connection: close\r\n";
-    write->data += "\r\n" + response.body;
-    close_after_write_ = !keep;
-    uv_buf_t buffer = uv_buf_init(write->data.data(), static_cast<unsigned>(write->data.size()));
-    write->request.data = write.get();
-    const int rc = uv_write(&write->request, reinterpret_cast<uv_stream_t*>(&tcp_), &buffer, 1,
-                            [](uv_write_t* done, int status) {
-                              auto* stream = done->handle;
-                              const std::unique_ptr<Write> owned(static_cast<Write*>(done->data));
-                              auto* self = static_cast<Connection*>(stream->data);
-                              if (status != 0 || self->close_after_write_) self->close();
-                            });
-    if (rc == 0) {
-      (void)write.release();
-    } else {
-      close();
-    }
+    close_after_write_ = !keep_alive;
+    const bool sent = stream_.write(encode_response(response, keep_alive), [this](bool written) {
+      if (!written || close_after_write_) close();
+    });
+    if (!sent) close();
   }
 
-  void close() {
-    if (std::exchange(closing_, true)) return;
-    leave_ordinary();
-    handles_ = 2;
-    const auto closed = [](uv_handle_t* handle) {
-      auto* self = static_cast<Connection*>(handle->data);
-      if (--self->handles_ == 0) self->self_.reset();
-    };
-    uv_close(reinterpret_cast<uv_handle_t*>(&tcp_), closed);
-    uv_close(reinterpret_cast<uv_handle_t*>(&idle_), closed);
+  /// An oversized body is read to its end, so that the sender sees the response, but not kept.
+  void append_body(const char* data, std::size_t length) {
+    if (body_.size() + length > constants::max_request_body_bytes) {
+      body_too_large_ = true;
+    } else {
+      body_.append(data, length);
+    }
   }
 
   static const http_parser_settings& parser_settings() {
@@ -140,17 +129,11 @@
         return 0;
       };
       made.on_body = [](http_parser* parser, const char* at, std::size_t length) {
-        auto* self = static_cast<Connection*>(parser->data);
-        // An oversized body is read to its end, so that the sender sees the answer, but not kept.
-        if (self->body_.size() + length > constants::max_request_body_bytes) {
-          self->too_large_ = true;
-        } else {
-          self->body_.append(at, length);
-        }
+        static_cast<Connection*>(parser->data)->append_body(at, length);
         return 0;
       };
       made.on_message_complete = [](http_parser* parser) {
-        static_cast<Connection*>(parser->data)->complete();
+        static_cast<Connection*>(parser->data)->on_message_complete();
         return 0;
       };
       return made;
@@ -159,53 +142,39 @@
   }
 
   HttpServer& server_;
-  uv_tcp_t tcp_{};
-  uv_timer_t idle_{};
+  TcpStream stream_;
+  Timer idle_timer_;
   http_parser parser_{};
-  char input_[4096];
   std::string target_;
   std::string body_;
-  bool too_large_ = false;
-  std::optional<std::list<Connection*>::iterator> place_;  // among the ordinary ones
+  bool body_too_large_ = false;
   bool closing_ = false;
   bool close_after_write_ = false;
-  int handles_ = 0;
-  std::shared_ptr<Connection> self_;  // held until libuv has let go of both handles
+  std::optional<std::list<Connection*>::iterator> ordinary_position_;
 };
 
+// After the loss of all its peers a controller may be called by everybody within a second, so the
+// backlog is as large as the budget.
 HttpServer::HttpServer(EventLoop& loop, const Endpoint& listen, std::size_t max_connections,
-                       std::function<bool(const HttpRequest&)> vital, HttpHandler handler)
+                       std::function<bool(const HttpRequest&)> is_vital, HttpHandler handler)
     : loop_(loop),
-      vital_(std::move(vital)),
+      is_vital_(std::move(is_vital)),
       handler_(std::move(handler)),
-      max_connections_(max_connections) {
-  uv_tcp_init(loop.raw(), &listener_);
-  listener_.data = this;
-  sockaddr_in address{};
-  uv_ip4_addr(listen.host.c_str(), listen.port, &address);
-  int rc = uv_tcp_bind(&listener_, reinterpret_cast<const sockaddr*>(&address), 0);
-  if (rc == 0)
-    // After the loss of all siblings everybody may knock within a second.
-    rc = uv_listen(reinterpret_cast<uv_stream_t*>(&listener_), static_cast<int>(max_connections_),
-                   [](uv_stream_t* stream, int status) {
-                     if (status == 0) static_cast<HttpServer*>(stream->data)->accept();
-                   });
-  if (rc != 0)
-    throw std::runtime_error("cannot listen on " + listen.host + ":" + std::to_string(listen.port) +
-                             ": " + uv_strerror(rc));
+      max_connections_(max_connections),
+      listener_(loop, listen, static_cast<int>(max_connections), "requests", [this] { accept(); }) {
 }
 
 HttpServer::~HttpServer() = default;
 
 void HttpServer::accept() {
-  auto connection = std::make_shared<Connection>(*this);
-  // Over the budget a connection is taken and closed: left in the queue it would hang its peer. The
-  // newcomer may be a worker, whose lease hangs on it, so it goes only if there is no other.
-  const bool fits = open_ <= max_connections_;
-  if (connection->open() && !fits) {
-    spdlog::debug("connection shed open={} most={}", open_, max_connections_);
-    ordinary_.front()->shed();
-  }
+  const auto connection = std::make_shared<Connection>(*this);
+  // Over the budget a connection is accepted and closed: left in the queue it would hang its peer.
+  // The newest may be a worker's, whose lease depends on it, so it is closed only if there is no
+  // other.
+  const bool within_budget = open_connections_ <= max_connections_;
+  if (!connection->open() || within_budget) return;
+  spdlog::debug("connection shed open={} max={}", open_connections_, max_connections_);
+  ordinary_.front()->close();
 }
 
 }  // namespace poppystile::transport
--- a/tests/unit/http_server_test.cpp
+++ b/tests/unit/http_server_test.cpp
@@ -1,4 +1,5 @@
-// The server's connection budget, over real sockets on the loopback interface.
+/// \file
+/// The server's connection budget, over real sockets on the loopback interface.
 #include "transport/http_server.hpp"
 
 #include <arpa/inet.h>
@@ -12,7 +13,7 @@
 namespace {
 
 constexpr std::size_t budget = 4;
-constexpr int most_turns = 2000;  // of the loop; an answer takes a handful
+constexpr int max_turns = 2000;  // of the loop; a response takes a handful
 
 class Client {
  public:
@@ -27,14 +28,14 @@
   Client(const Client&) = delete;
   Client& operator=(const Client&) = delete;
 
-  // Whether the request is answered; not when the server has closed the connection.
-  bool asks(EventLoop& loop, const std::string& path) const {
+  /// Whether the request gets a response; not when the server has closed the connection.
+  bool gets_response(EventLoop& loop, const std::string& path) const {
     const std::string request = "GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n";
     ::send(socket_, request.data(), request.size(), MSG_NOSIGNAL);
-    char answer[512];
-    for (int turn = 0; turn < most_turns; ++turn) {
+    char response[512];
+    for (int turn = 0; turn < max_turns; ++turn) {
       uv_run(loop.raw(), UV_RUN_NOWAIT);
-      const auto count = ::recv(socket_, answer, sizeof(answer), MSG_DONTWAIT);
+      const auto count = ::recv(socket_, response, sizeof(response), MSG_DONTWAIT);
       if (count >= 0) return count > 0;
       if (errno != EAGAIN && errno != EWOULDBLOCK) return false;
       ::usleep(100);
@@ -46,9 +47,9 @@
   int socket_;
 };
 
-// Were users' connections kept, workers that come after them could not report, and lose their
-// leases.
-TEST(HttpServer, ConnectionsOfVitalRequestsOutlastTheOthers) {
+// Were users' connections kept, workers that connect after them could not send heartbeats, and
+// would lose their leases.
+TEST(HttpServerTest, ClosesConnectionsWithoutVitalRequestsFirst) {
   EventLoop loop;
   std::unique_ptr<HttpServer> server;
   std::uint16_t port = 20'000;
@@ -65,17 +66,17 @@
   std::vector<std::unique_ptr<Client>> users;
   for (std::size_t i = 0; i < budget; ++i) {
     users.push_back(std::make_unique<Client>(port));
-    EXPECT_TRUE(users.back()->asks(loop, "/ordinary"));
+    EXPECT_TRUE(users.back()->gets_response(loop, "/ordinary"));
   }
   std::vector<std::unique_ptr<Client>> workers;
   for (std::size_t i = 0; i < budget; ++i) {
     workers.push_back(std::make_unique<Client>(port));
-    EXPECT_TRUE(workers.back()->asks(loop, "/vital"));
+    EXPECT_TRUE(workers.back()->gets_response(loop, "/vital"));
   }
-  for (const auto& each : workers) EXPECT_TRUE(each->asks(loop, "/vital"));
-  for (const auto& each : users) EXPECT_FALSE(each->asks(loop, "/ordinary"));
+  for (const auto& each : workers) EXPECT_TRUE(each->gets_response(loop, "/vital"));
+  for (const auto& each : users) EXPECT_FALSE(each->gets_response(loop, "/ordinary"));
   const Client late(port);
-  EXPECT_FALSE(late.asks(loop, "/ordinary"));
+  EXPECT_FALSE(late.gets_response(loop, "/ordinary"));
 }
 
 }  // namespace
