--- a/src/constants.hpp
+++ b/src/constants.hpp
@@ -13,7 +13,7 @@
 // --- transport ---
 // bytes; PROTOCOL bounds a request body at 64 KiB.
 inline constexpr std::size_t max_request_body_bytes = 64 * 1024;
-// bytes; answers of the state service may hold 512 KiB of entries, watches have no bound.
+// bytes; responses of the state service may hold 512 KiB of entries, watches have no bound.
 inline constexpr std::size_t max_response_body_bytes = 64 * 1024 * 1024;
 // seconds; a half-open connection is dropped after this much silence. Users poll every 5 s.
 inline constexpr Seconds server_idle_timeout{75.0};
@@ -24,13 +24,13 @@
 inline constexpr std::size_t min_own_sockets = 8;
 // connections per remote service; enough to hide latency, far below any socket limit.
 inline constexpr std::size_t client_connections = 24;
-// waiting calls per remote service before new ones are refused at once.
+// waiting calls per remote service before new ones fail at once.
 inline constexpr std::size_t client_backlog = 512;
-// bytes; a frame between siblings holds a status with at most `max_advertised_jobs` counts and
+// bytes; a frame between peers holds a status with at most `max_advertised_jobs` counts and
 // `max_advertised_cancellations` names, of some 60 and 42 bytes with the longest ids; anything
 // larger is garbage.
 inline constexpr std::size_t max_peer_frame_bytes = 512 * 1024;
-// incoming connections of siblings: a handful, some of them half dead.
+// incoming connections of peers: a handful, some of them half open.
 inline constexpr int max_peer_connections = 16;
 
 // --- log ---
@@ -115,15 +115,15 @@
 inline constexpr double unready_response_share = 0.25;
 
 // --- users ---
-// seconds; polls are gathered this long and checked in one comparison.
+// seconds; polls are gathered for this long and confirmed by one compare.
 inline constexpr Seconds poll_batch_window{0.015};
-// seconds; what a call showed that was sent longer ago is not told to a user any more: another node
-// may have told of an end or a cancellation since. Above the few hundred ms that an answer takes
-// now and then, and below the patience of a poll.
+// seconds; a response of the state service to a call sent longer ago is not passed on to users:
+// another controller may have reported a later state since. Above the few hundred ms that a
+// response sometimes takes, and below the timeout of a poll.
 inline constexpr Seconds max_read_age{1.0};
-// seconds; a submission held up by the state service's rate limit is tried again this long.
+// seconds; for this long a user's change that was throttled by the state service is tried again.
 inline constexpr Seconds submission_retry_window{1.0};
-// seconds told to a user in Retry-After.
+// seconds; the value of Retry-After.
 inline constexpr std::chrono::seconds retry_after{1};
 // tasks; PROTOCOL's bound on one job.
 inline constexpr std::uint64_t max_tasks = 100'000;
