--- a/tests/unit/consistent_reader_test.cpp
+++ b/tests/unit/consistent_reader_test.cpp
@@ -71,7 +71,8 @@
 }
 
 TEST_F(ConsistentReaderTest, ReadsAJobAgainThatTheCacheLacks) {
-  caller.response_delay = Seconds{0.5};  // the watch tells of the job after the compare has been sent
+  caller.response_delay =
+      Seconds{0.5};  // the watch tells of the job after the compare has been sent
   write_job();
   EXPECT_EQ(confirm(), ReadResult::active);
 }
