--- a/src/cluster/attempt_numbers.hpp
+++ b/src/cluster/attempt_numbers.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Numbers of attempts: distinct and growing over all leaders, without a record of them.
+/// Attempt numbers: distinct and growing over all leaders, without a record of them.
 #pragma once
 
 #include <cstdint>
@@ -9,14 +9,15 @@
 
 namespace poppystile::cluster {
 
+/// Draws the attempt numbers of one leader's term. Its fencing token is in the upper bits.
 class AttemptNumbers {
  public:
-  /// The fencing token is in the upper bits. `used`: of the token's numbers, how many are spent.
+  /// `used`: of the token's numbers, how many were drawn before.
   explicit AttemptNumbers(std::uint64_t token = 0, std::uint64_t used = 0)
       : token_(token), used_(used) {}
 
   /// One number serves all tasks of a plan, since a plan places a task once at most. Nothing when
-  /// the token's numbers are spent: the next ones would be those of the next token.
+  /// the token's numbers are used up: the next ones would be those of the next token.
   std::optional<std::uint64_t> next() {
     if (used_ + 1 >= std::uint64_t{1} << constants::attempt_bits) return std::nullopt;
     return (token_ << constants::attempt_bits) | ++used_;
--- a/src/cluster/cluster_state.cpp
+++ b/src/cluster/cluster_state.cpp
@@ -1,85 +1,10 @@
 #include "cluster/cluster_state.hpp"
 
 #include <algorithm>
-
-#include "constants.hpp"
+#include <utility>
 
 namespace poppystile::cluster {
 
-std::uint32_t Job::take_waiting(Machine& machine) {
-  std::uint32_t index = 0;
-  if (!requeued.empty()) {
-    index = requeued.back();
-    requeued.pop_back();
-  } else {
-    // A restored job has tasks beyond the cursor that are finished or placed already.
-    while (phases.at(next_unplaced) != TaskPhase::waiting) ++next_unplaced;
-    index = next_unplaced++;
-  }
-  phases[index] = TaskPhase::placed;
-  placements[index] = &machine;
-  return index;
-}
-
-std::uint32_t Job::schedulable_tasks() const {
-  if (is_gang()) return gang.is_over() ? 0 : waiting();
-  if (retry_pause == Seconds{0}) return waiting();
-  const auto out = static_cast<std::uint32_t>(placements.size());
-  return std::min(waiting(),
-                  constants::max_retrying_tasks - std::min(constants::max_retrying_tasks, out));
-}
-
-void Job::reset_failures() {
-  failed_on.clear();
-  retry_pause = longest_failed_run = Seconds{0};
-}
-
-void Job::requeue(std::uint32_t index) {
-  phases[index] = TaskPhase::waiting;
-  placements.erase(index);
-  if (index < next_unplaced) requeued.push_back(index);
-}
-
-void Job::finish(std::uint32_t index) {
-  phases[index] = TaskPhase::finished;
-  placements.erase(index);
-  ++finished;
-}
-
-void Job::finish_all() {
-  for (std::uint32_t index = 0; index < spec().tasks; ++index)
-    if (!is_task_finished(index)) finish(index);
-}
-
-void Job::for_each_placement(const std::function<void(Placement&)>& action) {
-  for (const auto& [index, machine] : placements)
-    for (auto& each : machine->placements)
-      if (each.index == index && each.job == spec().id && each.phase != PlacementPhase::exited)
-        action(each);
-}
-
-bool Machine::holds(const std::string& image) const {
-  return std::any_of(images.begin(), images.end(),
-                     [&](const CachedImage& each) { return each.name == image; });
-}
-
-void Machine::mark_image_used(const std::string& name, double gb) {
-  std::erase_if(images, [&](const CachedImage& each) { return each.name == name; });
-  images.push_back({name, gb});
-  double total = 0;
-  for (const auto& each : images) total += each.gb;
-  while (images.size() > 1 && total > cache_gb) {
-    total -= images.front().gb;
-    images.erase(images.begin());
-  }
-}
-
-Placement* Machine::find(const std::string& job, std::uint32_t index, std::uint64_t attempt) {
-  for (auto& each : placements)
-    if (each.index == index && each.attempt == attempt && each.job == job) return &each;
-  return nullptr;
-}
-
 Job* ClusterState::job(const std::string& id) {
   const auto it = jobs.find(id);
   return it == jobs.end() ? nullptr : &it->second;
