--- /dev/null
+++ b/src/coordination/leader/heartbeat_responder.cpp
@@ -0,0 +1,93 @@
+#include "coordination/leader/heartbeat_responder.hpp"
+
+#include <algorithm>
+#include <utility>
+
+#include "constants.hpp"
+
+namespace poppystile::coordination {
+
+using cluster::Machine;
+using cluster::Placement;
+using cluster::PlacementPhase;
+using protocol::Command;
+using transport::Respond;
+
+void HeartbeatResponder::respond(Machine& machine, const protocol::Heartbeat& heartbeat,
+                                 std::vector<Command> commands, bool expects_placements,
+                                 Respond respond) {
+  PendingResponse response;
+  response.respond = std::move(respond);
+  response.commands = std::move(commands);
+  response.incarnation = heartbeat.incarnation;
+  response.sequence = heartbeat.sequence;
+  response.hold_until = runtime_.now() + constants::max_response_hold;
+  pending_.erase(machine.id);
+  if (machine.has_acknowledged_token && (expects_placements || has_start_in_flight(machine))) {
+    pending_[machine.id] = std::move(response);
+    return;
+  }
+  send(machine, std::move(response));
+}
+
+bool HeartbeatResponder::has_start_in_flight(const Machine& machine) const {
+  return std::any_of(machine.placements.begin(), machine.placements.end(), [&](const auto& each) {
+    return may_start(each) && !journal_.is_durable(each.log_position);
+  });
+}
+
+bool HeartbeatResponder::may_start(const Placement& placement) const {
+  if (placement.phase != PlacementPhase::assigned || placement.stopping) return false;
+  const auto job = cluster_state_.jobs.find(placement.job);
+  // A task of a running gang was started before, and has gone if it is not reported.
+  return job == cluster_state_.jobs.end() || !job->second.is_gang() ||
+         job->second.gang.phase == cluster::GangAttempt::Phase::assembling;
+}
+
+void HeartbeatResponder::send(Machine& machine, PendingResponse response) {
+  if (machine.has_acknowledged_token)
+    for (auto& each : machine.placements) {
+      // The journal must record the placement before anything starts.
+      if (!may_start(each) || !journal_.is_durable(each.log_position)) continue;
+      each.start_incarnation = response.incarnation;
+      each.start_sequence = response.sequence;
+      response.commands.push_back(
+          {Command::Op::start, each.job, each.index, each.attempt, Seconds{0}});
+    }
+  machine.last_response_at = runtime_.now();
+  machine.has_been_answered = true;
+  response.respond({200, protocol::encode_commands(election_.token(), response.commands)});
+}
+
+void HeartbeatResponder::send_pending(const std::string& id) {
+  const auto held = pending_.find(id);
+  if (held == pending_.end()) return;
+  PendingResponse response = std::move(held->second);
+  pending_.erase(held);
+  const auto machine = cluster_state_.machines.find(id);
+  if (machine != cluster_state_.machines.end()) send(machine->second, std::move(response));
+}
+
+void HeartbeatResponder::send_due() {
+  const SteadyTime now = runtime_.now();
+  std::vector<std::string> due;
+  for (const auto& [id, held] : pending_) {
+    const auto machine = cluster_state_.machines.find(id);
+    const bool must_wait = machine != cluster_state_.machines.end() &&
+                           (held.awaits_plan || has_start_in_flight(machine->second));
+    if (!must_wait || now >= held.hold_until) due.push_back(id);
+  }
+  for (const auto& id : due) send_pending(id);
+}
+
+void HeartbeatResponder::on_planned() {
+  for (auto& [id, held] : pending_) held.awaits_plan = false;
+  send_due();
+}
+
+void HeartbeatResponder::redirect_all() {
+  for (auto& [id, held] : std::exchange(pending_, {}))
+    held.respond({421, protocol::encode_redirect("")});
+}
+
+}  // namespace poppystile::coordination
--- a/src/coordination/leader/job_finalizer.cpp
+++ b/src/coordination/leader/job_finalizer.cpp
@@ -11,9 +11,16 @@
 using cluster::Job;
 using protocol::JobState;
 
+namespace {
+
+// A final record that is written and a job record that is deleted.
+constexpr std::size_t changes_per_job = 2;
+
+}  // namespace
+
 void JobFinalizer::reset() {
-  ++term_;
-  writing_ = false;
+  term_.end();
+  write_in_flight_ = false;
   due_.clear();
 }
 
@@ -23,26 +30,30 @@
 
 void JobFinalizer::pump() {
   const SteadyTime now = runtime_.now();
-  if (writing_ || now < next_write_at_) return;
+  if (write_in_flight_ || now < next_write_at_) return;
   next_write_at_ = now + constants::finalize_interval;
-  if (now - last_sweep_at_ > constants::finalize_sweep_interval) {
-    last_sweep_at_ = now;
-    for (const auto& [id, job] : cluster_state_.jobs) enqueue_if_final(id, job);
-  }
+  sweep_if_due(now);
   protocol::Transaction transaction;
   const std::vector<std::string> jobs = take_due(transaction);
   if (jobs.empty()) return;
-  writing_ = true;
-  key_value_client_.compare_and_swap(transaction, RequestPriority::finalize,
-                                     [this, term = term_, jobs](const TransactionResult& result) {
-                                       if (term == term_) on_write_result(jobs, result);
-                                     });
+  write_in_flight_ = true;
+  key_value_client_.compare_and_swap(
+      transaction, RequestPriority::finalize,
+      term_.wrap([this, jobs](const TransactionResult& result) { on_write_result(jobs, result); }));
+}
+
+// Finds jobs whose final record was held up because something else changed their record.
+void JobFinalizer::sweep_if_due(SteadyTime now) {
+  if (now - last_sweep_at_ <= constants::finalize_sweep_interval) return;
+  last_sweep_at_ = now;
+  for (const auto& [id, job] : cluster_state_.jobs) enqueue_if_final(id, job);
 }
 
 std::vector<std::string> JobFinalizer::take_due(protocol::Transaction& transaction) {
   std::vector<std::string> jobs;
   transaction.conditions.push_back(election_.fence());
-  while (!due_.empty() && transaction.changes.size() + 2 <= settings_.state_limits.max_changes()) {
+  while (!due_.empty() &&
+         transaction.changes.size() + changes_per_job <= settings_.state_limits.max_changes()) {
     const std::string id = due_.extract(due_.begin()).value();
     const Job* job = cluster_state_.job(id);
     if (job == nullptr) continue;
@@ -62,7 +73,7 @@
 
 void JobFinalizer::on_write_result(const std::vector<std::string>& jobs,
                                    const TransactionResult& result) {
-  writing_ = false;
+  write_in_flight_ = false;
   if (result.status != CallStatus::ok) {
     if (!election_.step_down_if_deposed(result)) retry_later(jobs, result);
     return;
@@ -78,17 +89,17 @@
   }
 }
 
-// The sweep brings back those that moved, once the watch has told what became of them.
+// Jobs whose record has changed are left to the sweep, once the watch has shown their new version.
 void JobFinalizer::retry_later(const std::vector<std::string>& jobs,
                                const TransactionResult& result) {
   next_write_at_ = runtime_.now() + constants::state_retry_pause;
-  // Not the same again: the sweep gathers them anew.
+  // The same transaction would be refused again: the sweep queues the jobs anew.
   if (result.status == CallStatus::invalid) return;
   for (const auto& id : jobs) {
     const Job* job = cluster_state_.job(id);
-    const bool moved = std::find(result.failed.begin(), result.failed.end(),
-                                 storage::job_key(id)) != result.failed.end();
-    if (job != nullptr && !moved) enqueue_if_final(id, *job);
+    const bool has_changed = std::find(result.failed.begin(), result.failed.end(),
+                                       storage::job_key(id)) != result.failed.end();
+    if (job != nullptr && !has_changed) enqueue_if_final(id, *job);
   }
 }
 
--- a/src/coordination/leader/job_finalizer.hpp
+++ b/src/coordination/leader/job_finalizer.hpp
@@ -1,19 +1,23 @@
 /// \file
 /// Writes the final records of jobs that are done or cancelled and have left every machine.
 ///
-/// The final record and the removal of the job's are one change: a job is never seen in between. It
-/// is conditional on the job's version, so that a cancellation that comes first wins.
+/// One transaction creates the final record and deletes the job record, so a job always has exactly
+/// one of them. It is conditional on the job's version, so that a cancellation that comes first
+/// wins.
 #pragma once
 
 #include <set>
 #include <string>
 #include <vector>
 
+#include "clock.hpp"
 #include "cluster/cluster_state.hpp"
 #include "coordination/election/leader_election.hpp"
 #include "coordination/state/key_value_client.hpp"
 #include "coordination/state/shared_state_cache.hpp"
+#include "coordination/term_scope.hpp"
 #include "protocol/settings.hpp"
+#include "transport/event_loop.hpp"
 
 namespace poppystile::coordination {
 
@@ -29,16 +33,22 @@
         election_(election),
         settings_(settings) {}
 
-  /// Forgets everything: this node begins or ends to lead.
+  /// Drops the queue, and the results of writes under way: the term has ended.
   void reset();
-  /// Notes the job when its final record is due.
+
+  /// Queues the job if its final record is due: all its tasks have finished, or it was cancelled
+  /// and has left every machine.
   void enqueue_if_final(const std::string& id, const cluster::Job& job);
+
+  /// Takes the job off the queue: its record is gone.
   void forget(const std::string& id) { due_.erase(id); }
-  /// Called often while leading.
+
+  /// Writes the next final records, one transaction at a time. Called on each tick while leading.
   void pump();
 
  private:
-  /// As many of the due jobs as fit into one transaction.
+  void sweep_if_due(SteadyTime now);
+  /// Moves as many jobs from the queue into the transaction as it may carry; returns their ids.
   std::vector<std::string> take_due(protocol::Transaction& transaction);
   static protocol::JobState final_state(const cluster::Job& job);
   void on_write_result(const std::vector<std::string>& jobs, const TransactionResult& result);
@@ -50,11 +60,11 @@
   KeyValueClient& key_value_client_;
   LeaderElection& election_;
   const protocol::Settings& settings_;
-  std::uint64_t term_ = 0;  // to drop answers to what was sent before a reset
-  bool writing_ = false;
+  TermScope term_;
+  bool write_in_flight_ = false;
   SteadyTime next_write_at_;
   SteadyTime last_sweep_at_;
-  std::set<std::string> due_;
+  std::set<std::string> due_;  // ids of jobs
 };
 
 }  // namespace poppystile::coordination
--- /dev/null
+++ b/src/coordination/leader/scheduling_loop.cpp
@@ -0,0 +1,128 @@
+#include "coordination/leader/scheduling_loop.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <utility>
+
+#include "constants.hpp"
+#include "planning/eligibility.hpp"
+#include "storage/journal_entry.hpp"
+
+namespace poppystile::coordination {
+
+using cluster::Job;
+using cluster::Machine;
+using cluster::Placement;
+using storage::IndexRange;
+
+SchedulingLoop::SchedulingLoop(const transport::Runtime& runtime,
+                               cluster::ClusterState& cluster_state, LeaderElection& election,
+                               JournalWriter& journal, const GangTracker& gangs,
+                               const TaskStopper& stopper, const protocol::Settings& settings,
+                               const protocol::Properties& properties)
+    : runtime_(runtime),
+      cluster_state_(cluster_state),
+      election_(election),
+      journal_(journal),
+      gangs_(gangs),
+      stopper_(stopper),
+      settings_(settings),
+      properties_(properties) {}
+
+void SchedulingLoop::check_jobs() {
+  for (auto& [id, job] : cluster_state_.jobs) {
+    if (job.is_gang()) gangs_.check_assembly(job, runtime_.now());
+    if (job.waiting() > 0 && !job.record.cancelled) request_plan();
+  }
+}
+
+bool SchedulingLoop::run_if_due() {
+  if (!plan_requested_ || runtime_.now() < next_plan_at_) return false;
+  plan();
+  return true;
+}
+
+bool SchedulingLoop::may_place_on(const Machine& machine) const {
+  return plan_requested_ && planning::is_schedulable(machine, runtime_.now()) &&
+         machine.room().cpus >= least_waiting_cpus_;
+}
+
+void SchedulingLoop::plan() {
+  const SteadyTime started_at = runtime_.now();
+  plan_requested_ = false;
+  const auto attempt = attempts_.next();
+  if (!attempt) return election_.resign("its attempt numbers are used up", Seconds{0});
+  planning::Plan made = planning::make_plan(cluster_state_, planning_context(started_at));
+  log_waiting_gangs(std::move(made.waiting_gangs));
+  apply_placements(made.placements, *attempt, started_at);
+  apply_preemptions(made.preemptions);
+  update_least_waiting_cpus();
+  // The pause follows the plan's own cost, so that heartbeats get most of the processor.
+  const SteadyTime ended_at = runtime_.now();
+  next_plan_at_ = ended_at + std::max(constants::min_plan_interval,
+                                      (ended_at - started_at) * constants::planning_pause_factor);
+}
+
+planning::PlanningContext SchedulingLoop::planning_context(SteadyTime now) const {
+  planning::PlanningContext context;
+  context.now = now;
+  context.teams = &settings_.teams;
+  context.weights = {constants::local_units, constants::remote_units,
+                     properties_.remote_offset_units, true};
+  context.heartbeat_interval = settings_.heartbeat_interval;
+  context.wall_now = runtime_.wall_now();
+  context.finish_aims = &settings_.finish_aims;
+  if (settings_.gang_times)
+    context.gang_task_replacement_window = settings_.gang_times->task_replacement_window();
+  return context;
+}
+
+// Logs each gang's reason once.
+void SchedulingLoop::log_waiting_gangs(std::map<std::string, planning::GangWaitReason> waits) {
+  for (const auto& [id, why] : waits) {
+    const auto before = waiting_gangs_.find(id);
+    if (before == waiting_gangs_.end() || before->second != why)
+      spdlog::info("gang waits id={} why=\"{}\"", id, planning::to_string(why));
+  }
+  waiting_gangs_ = std::move(waits);
+}
+
+void SchedulingLoop::apply_placements(const std::vector<planning::PlannedPlacement>& placements,
+                                      std::uint64_t plan_attempt, SteadyTime now) {
+  std::map<std::string, std::uint64_t> gang_positions;  // log position of each gang's last entry
+  for (const auto& each : placements) {
+    Machine& machine = cluster_state_.machines.at(each.machine);
+    Job& job = cluster_state_.jobs.at(each.job);
+    if (job.is_gang()) GangTracker::on_placed(job, plan_attempt, now);
+    const std::uint64_t attempt = job.is_gang() ? job.gang.number : plan_attempt;
+    Placement& placed = cluster_state_.place(machine, job, attempt, now);
+    placed.log_position = journal_.append(
+        storage::TaskPlaced{placed.job, attempt, {{machine.id, IndexRange::single(placed.index)}}});
+    if (job.is_gang()) gang_positions[job.spec().id] = placed.log_position;
+    spdlog::debug("task placed job={} index={} machine={}", placed.job, placed.index, machine.id);
+  }
+  // No task of a gang starts before the journal records all of them: a successor finds it whole.
+  for (const auto& [id, position] : gang_positions)
+    cluster_state_.jobs.at(id).for_each_placement(
+        [position = position](Placement& each) { each.log_position = position; });
+}
+
+void SchedulingLoop::apply_preemptions(
+    const std::vector<planning::PlannedPreemption>& preemptions) {
+  for (const auto& each : preemptions) {
+    Placement* placement =
+        cluster_state_.machines.at(each.machine).find(each.job, each.index, each.attempt);
+    stopper_.stop_task(*placement);
+    spdlog::info("task preempted job={} index={} machine={}", each.job, each.index, each.machine);
+  }
+}
+
+void SchedulingLoop::update_least_waiting_cpus() {
+  least_waiting_cpus_ = std::numeric_limits<std::int64_t>::max();
+  for (const auto& [id, job] : cluster_state_.jobs)
+    if (job.waiting() > 0 && !job.record.cancelled)
+      least_waiting_cpus_ = std::min(least_waiting_cpus_, job.spec().each.cpus);
+}
+
+}  // namespace poppystile::coordination
--- /dev/null
+++ b/src/coordination/leader/task_reconciler.cpp
@@ -0,0 +1,185 @@
+#include "coordination/leader/task_reconciler.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <utility>
+
+#include "constants.hpp"
+#include "coordination/leader/gang_tracker.hpp"
+#include "storage/journal_entry.hpp"
+
+namespace poppystile::coordination {
+
+using cluster::Job;
+using cluster::Machine;
+using cluster::Placement;
+using cluster::PlacementPhase;
+using protocol::ExitCause;
+using protocol::ReportedTask;
+using protocol::TaskState;
+using storage::IndexRange;
+using GangPhase = cluster::GangAttempt::Phase;
+
+namespace {
+
+PlacementPhase phase_of(TaskState state) {
+  switch (state) {
+    case TaskState::waiting:
+      return PlacementPhase::waiting;
+    case TaskState::running:
+      return PlacementPhase::running;
+    case TaskState::saving:
+      return PlacementPhase::saving;
+    default:
+      return PlacementPhase::fetching;
+  }
+}
+
+}  // namespace
+
+TaskReconciler::TaskReconciler(const transport::Runtime& runtime,
+                               cluster::ClusterState& cluster_state, JournalWriter& journal,
+                               JobFinalizer& finalizer, const MachineHealth& health,
+                               const protocol::Settings& settings,
+                               std::function<void()> request_plan)
+    : runtime_(runtime),
+      cluster_state_(cluster_state),
+      journal_(journal),
+      finalizer_(finalizer),
+      health_(health),
+      settings_(settings),
+      request_plan_(std::move(request_plan)) {}
+
+void TaskReconciler::reconcile(Machine& machine, const protocol::Heartbeat& heartbeat) {
+  for (const auto& reported : heartbeat.tasks) {
+    Placement* placement = machine.find(reported.job, reported.index, reported.attempt);
+    if (placement == nullptr) continue;
+    placement->last_reported_sequence = heartbeat.sequence;
+    reconcile_task(machine, *placement, reported);
+  }
+  expire_unacknowledged_starts(machine, heartbeat);
+  erase_removed_placements(machine);
+}
+
+void TaskReconciler::reconcile_task(Machine& machine, Placement& placement,
+                                    const ReportedTask& reported) {
+  if (placement.phase == PlacementPhase::exited) return;
+  if (reported.state == TaskState::exited) return on_exited(machine, placement, reported.cause);
+  Job* job = cluster_state_.job(placement.job);
+  if (job != nullptr && job->is_gang())
+    GangTracker::on_reported(*job, reported.state, runtime_.now());
+  const PlacementPhase phase = phase_of(reported.state);
+  if (phase != placement.phase) return change_phase(machine, placement, job, phase);
+  if (job != nullptr && has_outlived_failures(placement, *job)) job->reset_failures();
+}
+
+bool TaskReconciler::has_outlived_failures(const Placement& placement, const Job& job) const {
+  return placement.phase == PlacementPhase::running && !job.failed_on.empty() &&
+         runtime_.now() - placement.phase_started_at >
+             2 * (job.longest_failed_run + settings_.heartbeat_interval);
+}
+
+void TaskReconciler::change_phase(Machine& machine, Placement& placement, Job* job,
+                                  PlacementPhase phase) {
+  if (job != nullptr) {
+    if (placement.phase == PlacementPhase::running) --job->running;
+    if (phase == PlacementPhase::waiting) record_cached_image(machine, *job);
+    if (phase == PlacementPhase::running) {
+      ++job->running;
+      record_cached_image(machine, *job);
+      spdlog::debug("task runs job={} index={} machine={} after_s={:.1f}", placement.job,
+                    placement.index, machine.id,
+                    (runtime_.now() - placement.phase_started_at).count());
+    }
+  }
+  placement.phase = phase;
+  placement.phase_started_at = runtime_.now();
+}
+
+void TaskReconciler::on_exited(Machine& machine, Placement& placement, ExitCause cause) {
+  Job* job = cluster_state_.job(placement.job);
+  request_plan_();
+  if (cause == ExitCause::done && job != nullptr) return on_completed(machine, placement, *job);
+  health_.record_failure(machine, placement, cause);
+  const bool gang_ended = cause == ExitCause::peer_lost || cause == ExitCause::gang_incomplete;
+  if (gang_ended && job != nullptr && job->is_gang()) GangTracker::abandon(*job);
+  remove_placement(machine, placement);
+}
+
+void TaskReconciler::on_completed(Machine& machine, Placement& placement, Job& job) {
+  cluster_state_.release_resources(machine, placement);
+  placement.finished = true;
+  MachineHealth::reset_failures(machine);
+  job.reset_failures();
+  if (job.is_gang()) {
+    // The tasks of a gang complete together: the other machines need not report theirs.
+    job.finish_all();
+  } else {
+    record_cached_image(machine, job);
+    job.finish(placement.index);
+  }
+  // The worker keeps the exited task until this entry is durable.
+  placement.log_position =
+      journal_.append(storage::TaskFinished{placement.job, {IndexRange::single(placement.index)}});
+  finalizer_.enqueue_if_final(placement.job, job);
+}
+
+void TaskReconciler::expire_unacknowledged_starts(Machine& machine,
+                                                  const protocol::Heartbeat& heartbeat) {
+  // Only a worker that has seen our token is sure to accept no start of an earlier leader any more.
+  if (!machine.has_acknowledged_token) return;
+  for (auto& each : machine.placements) {
+    if (each.phase == PlacementPhase::exited || each.last_reported_sequence == heartbeat.sequence)
+      continue;
+    // A start that answered an earlier heartbeat than this one cannot arrive any more.
+    const bool start_has_settled = std::make_pair(each.start_incarnation, each.start_sequence) <
+                                   std::make_pair(heartbeat.incarnation, heartbeat.sequence);
+    if (!start_has_settled) continue;
+    const Job* job = cluster_state_.job(each.job);
+    const bool gang_runs =
+        job != nullptr && job->is_gang() && job->gang.phase == GangPhase::running;
+    if (each.last_reported_sequence != 0 || each.stopping || gang_runs) {
+      remove_placement(machine, each);
+    } else if (each.start_incarnation != 0 &&
+               ++each.unacknowledged_starts >= constants::max_unacknowledged_starts) {
+      health_.mark_unresponsive(machine, "starts are not shown");
+      remove_placement(machine, each);
+    }
+  }
+}
+
+void TaskReconciler::record_cached_image(Machine& machine, const Job& job) {
+  const bool is_known = machine.holds(job.spec().image);
+  machine.mark_image_used(job.spec().image, job.spec().image_gb);
+  if (!is_known) journal_.append(storage::ImageCached{machine.id, machine.images.back()});
+}
+
+void TaskReconciler::remove_placement(Machine& machine, Placement& placement) {
+  if (placement.phase == PlacementPhase::exited) return;
+  cluster_state_.release_resources(machine, placement);
+  request_plan_();
+  Job* job = cluster_state_.job(placement.job);
+  if (job == nullptr) return;
+  journal_.append(storage::PlacementEnded{placement.job, {IndexRange::single(placement.index)}});
+  if (job->is_task_finished(placement.index)) return;  // its gang has completed
+  job->requeue(placement.index);
+  if (job->is_gang()) GangTracker::on_task_lost(*job, machine.id, runtime_.now());
+  finalizer_.enqueue_if_final(placement.job, *job);
+}
+
+void TaskReconciler::erase_removed_placements(Machine& machine) {
+  std::erase_if(machine.placements, [](const Placement& each) {
+    return each.phase == PlacementPhase::exited && !each.finished;
+  });
+}
+
+void TaskReconciler::evict_all(Machine& machine, const std::string& why) {
+  if (!machine.placements.empty())
+    spdlog::info("machine emptied id={} tasks={} why=\"{}\"", machine.id, machine.placements.size(),
+                 why);
+  for (auto& each : machine.placements) remove_placement(machine, each);
+  machine.placements.clear();
+}
+
+}  // namespace poppystile::coordination
