--- a/src/cluster/cluster_state.cpp
+++ b/src/cluster/cluster_state.cpp
@@ -16,14 +16,6 @@
   recent.last_submitted_at = std::max(recent.last_submitted_at, record.accepted_at);
 }
 
-bool ClusterState::may_replace_tasks(const Job& job, SteadyTime now, Seconds max_wait) const {
-  if (job.gang.phase != GangAttempt::Phase::assembling) return false;
-  if (now - job.gang.placed_at > max_wait) return false;
-  return std::all_of(job.placements.begin(), job.placements.end(), [&](const auto& each) {
-    return each.second->last_heartbeat_at > job.gang.task_lost_at;
-  });
-}
-
 Placement& ClusterState::place(Machine& machine, Job& job, std::uint64_t attempt, SteadyTime now) {
   return restore(machine, job, job.take_waiting(machine), attempt, now);
 }
--- a/src/cluster/cluster_state.hpp
+++ b/src/cluster/cluster_state.hpp
@@ -41,11 +41,6 @@
   /// Remembers a gang's submission in `recent_gangs`.
   void record_recent_gang(const JobRecord& record);
 
-  /// Whether a gang that lost tasks before it began may have them replaced: it was placed no longer
-  /// than `max_wait` ago, every machine that holds one of its tasks has reported since the loss,
-  /// and none of the tasks runs.
-  bool may_replace_tasks(const Job& job, SteadyTime now, Seconds max_wait) const;
-
   /// Places the job's next waiting task on the machine. One must be waiting.
   Placement& place(Machine& machine, Job& job, std::uint64_t attempt, SteadyTime now);
 
--- a/src/cluster/job.cpp
+++ b/src/cluster/job.cpp
@@ -59,4 +59,12 @@
         action(each);
 }
 
+bool Job::may_replace_tasks(SteadyTime now, Seconds max_wait) const {
+  if (gang.phase != GangAttempt::Phase::assembling) return false;
+  if (now - gang.placed_at > max_wait) return false;
+  return std::all_of(placements.begin(), placements.end(), [&](const auto& each) {
+    return each.second->last_heartbeat_at > gang.task_lost_at;
+  });
+}
+
 }  // namespace poppystile::cluster
--- a/src/cluster/job.hpp
+++ b/src/cluster/job.hpp
@@ -75,6 +75,10 @@
 
   /// Finishes every task that has not finished yet: the tasks of a gang complete together.
   void finish_all();
+  /// Whether a gang that lost tasks before it began may have them replaced: it was placed no longer
+  /// than `max_wait` ago, every machine that holds one of its tasks has reported since the loss,
+  /// and none of the tasks runs.
+  bool may_replace_tasks(SteadyTime now, Seconds max_wait) const;
 
   /// Calls `action` with each placement of the job that has not exited.
   void for_each_placement(const std::function<void(Placement&)>& action);
--- a/src/constants.hpp
+++ b/src/constants.hpp
@@ -200,8 +200,9 @@
 // seconds the answer to a report is kept back when a start for that machine is on its way into the
 // journal: far below the 4 s after which a worker gives up, and below the gap between reports.
 inline constexpr Seconds max_response_hold{0.5};
-// heartbeat intervals before its preemption at which a machine's tasks are stopped, besides the time
-// that a gang saves: one heartbeat brings the stop and a later one proves that the task has gone.
+// heartbeat intervals before its preemption at which a machine's tasks are stopped, besides the
+// time that a gang saves: one heartbeat brings the stop and a later one proves that the task has
+// gone.
 inline constexpr double preemption_stop_heartbeats = 2.5;
 // starts that the next report does not show, or sessions that end without showing any, before our
 // answers are taken not to arrive.
--- a/src/coordination/fleet/cloud_client.cpp
+++ b/src/coordination/fleet/cloud_client.cpp
@@ -1,7 +1,5 @@
 #include "coordination/fleet/cloud_client.hpp"
 
-#include <utility>
-
 #include "constants.hpp"
 
 namespace poppystile::coordination {
@@ -50,8 +48,8 @@
 bool CloudClient::acquire_call() { return budget_.take(1, false, runtime_.now()); }
 
 template <typename T, typename Parse>
-void CloudClient::call(HttpRequest request, Parse parse, const CloudCallback<T>& done) {
-  http_.call(settings_.cloud, std::move(request), constants::cloud_timeout,
+void CloudClient::call(const HttpRequest& request, Parse parse, const CloudCallback<T>& done) {
+  http_.call(settings_.cloud, request, constants::cloud_timeout,
              calls_.wrap([parse, done](const HttpResponse& response) {
                done(to_result<T>(response, parse));
              }));
--- a/src/coordination/fleet/cloud_client.hpp
+++ b/src/coordination/fleet/cloud_client.hpp
@@ -62,7 +62,7 @@
 
  private:
   template <typename T, typename Parse>
-  void call(transport::HttpRequest request, Parse parse, const CloudCallback<T>& done);
+  void call(const transport::HttpRequest& request, Parse parse, const CloudCallback<T>& done);
 
   transport::Runtime& runtime_;
   transport::HttpCaller& http_;
--- a/src/coordination/fleet/inventory_reconciler.cpp
+++ b/src/coordination/fleet/inventory_reconciler.cpp
@@ -82,7 +82,7 @@
   machine.spot = listed.spot;
   machine.rented_at = runtime_.wall_now() - listed.age;
   Machine* admitted = registry_.admit(std::move(machine));
-  if (admitted != nullptr) spdlog::info("machine adopted from the list id={}", listed.id);
+  if (admitted != nullptr) spdlog::info("machine adopted from the machine list id={}", listed.id);
   return admitted;
 }
 
--- a/src/coordination/journal/journal_reader.cpp
+++ b/src/coordination/journal/journal_reader.cpp
@@ -38,7 +38,7 @@
 JournalReader::JournalReader(transport::Runtime& runtime, KeyValueClient& key_value_client)
     : runtime_(runtime), key_value_client_(key_value_client) {}
 
-void JournalReader::load(std::function<void(LoadResult)> done) {
+void JournalReader::load(const Callback& done) {
   cancel();
   list(done);
 }
--- a/src/coordination/journal/journal_reader.hpp
+++ b/src/coordination/journal/journal_reader.hpp
@@ -43,7 +43,7 @@
   JournalReader(transport::Runtime& runtime, KeyValueClient& key_value_client);
 
   /// Reads everything and calls `done` once. A load that is still under way is cancelled.
-  void load(std::function<void(LoadResult)> done);
+  void load(const std::function<void(LoadResult)>& done);
 
   /// The callback of a load that is still under way will not be called.
   void cancel() { scope_.end(); }
--- a/src/coordination/leader/gang_tracker.cpp
+++ b/src/coordination/leader/gang_tracker.cpp
@@ -6,7 +6,6 @@
 
 namespace poppystile::coordination {
 
-using cluster::GangAttempt;
 using cluster::Job;
 using protocol::TaskState;
 using Phase = cluster::GangAttempt::Phase;
@@ -42,13 +41,13 @@
   const bool begun = state == TaskState::running || state == TaskState::saving;
   if (!begun || gang.gang.phase != Phase::assembling) return;
   gang.gang.phase = Phase::running;
-  spdlog::info("gang begins id={} attempt={} after_s={:.1f}", gang.spec().id, gang.gang.number,
+  spdlog::info("gang started id={} attempt={} after_s={:.1f}", gang.spec().id, gang.gang.number,
                (now - gang.gang.placed_at).count());
 }
 
 void GangTracker::on_task_lost(Job& gang, const std::string& machine, SteadyTime now) {
   if (gang.placements.empty()) {
-    spdlog::info("gang attempt over id={} attempt={}", gang.spec().id, gang.gang.number);
+    spdlog::info("gang attempt ended id={} attempt={}", gang.spec().id, gang.gang.number);
     gang.gang = {};
     return;
   }
@@ -60,14 +59,14 @@
 void GangTracker::stop(Job& gang) {
   if (gang.gang.phase == Phase::assembling) return abandon(gang);
   if (gang.gang.phase != Phase::running) return;
-  spdlog::info("gang stops id={} attempt={}", gang.spec().id, gang.gang.number);
+  spdlog::info("gang stopping id={} attempt={}", gang.spec().id, gang.gang.number);
   gang.gang.phase = Phase::stopping;
   stop_placements(gang);
 }
 
 void GangTracker::abandon(Job& gang) {
   if (gang.gang.phase == Phase::none || gang.gang.is_over()) return;
-  spdlog::info("gang attempt ends id={} attempt={} begun={}", gang.spec().id, gang.gang.number,
+  spdlog::info("gang attempt abandoned id={} attempt={} begun={}", gang.spec().id, gang.gang.number,
                gang.gang.phase == Phase::running);
   gang.gang.phase = Phase::ending;
   stop_placements(gang);
--- a/src/coordination/leader/gang_tracker.hpp
+++ b/src/coordination/leader/gang_tracker.hpp
@@ -1,7 +1,7 @@
 /// \file
 /// Follows the attempts of gangs: what the state of one task means for the others, and when all of
-/// them are to be stopped. Changes the model only; placing tasks is the planner's, writing the
-/// journal and answering workers the dispatcher's.
+/// them must be stopped. Changes the cluster state only: the planner places tasks, other parts of
+/// the leader write the journal and respond to workers.
 ///
 /// An attempt is placed whole and carries one number. Before it has begun, a task that is lost may
 /// be replaced under the same number. Once it runs, the loss of one task ends it: the others are
--- a/src/coordination/leader/heartbeat_handler.cpp
+++ b/src/coordination/leader/heartbeat_handler.cpp
@@ -46,7 +46,7 @@
   machine.zone = heartbeat.zone;
   machine.spot = heartbeat.spot;
   machine.rented_at = runtime_.wall_now();
-  spdlog::info("machine adopted from its report id={}", machine.id);
+  spdlog::info("machine adopted from its heartbeat id={}", machine.id);
   return fleet_.admit(std::move(machine));
 }
 
@@ -74,11 +74,11 @@
   if (machine.incarnation != 0) {
     health_.evaluate_incarnation(machine);
     // A worker kills all its tasks when its incarnation ends.
-    reconciler_.evict_all(machine, "new session");
+    reconciler_.evict_all(machine, "new incarnation");
     if (machine.has_acknowledged_token &&
         now - machine.last_response_at <
             settings_.worker_lease - constants::worker_response_timeout)
-      health_.mark_unresponsive(machine, "its lease ended although it was answered");
+      health_.mark_unresponsive(machine, "its lease expired although it was answered");
   }
   machine.incarnation = incarnation;
   machine.incarnation_started_at = now;
@@ -104,7 +104,7 @@
 // it disappears. Services are stopped at once: they lose nothing, and start elsewhere the sooner.
 void HeartbeatHandler::prepare_for_preemption(Machine& machine, Seconds time_left) {
   if (!std::exchange(machine.preemption_noticed, true)) {
-    spdlog::info("machine recalled id={} in_s={}", machine.id, time_left.count());
+    spdlog::info("machine preemption notice id={} in_s={}", machine.id, time_left.count());
     request_plan_();
   }
   for (auto& each : machine.placements) {
--- a/src/coordination/leader/job_finalizer.cpp
+++ b/src/coordination/leader/job_finalizer.cpp
@@ -82,7 +82,7 @@
     const Job* job = cluster_state_.job(id);
     if (job == nullptr) continue;
     const JobState state = final_state(*job);
-    spdlog::info("job over id={} state={}", id, protocol::to_string(state));
+    spdlog::info("job ended id={} state={}", id, protocol::to_string(state));
     shared_state_.apply_response(storage::final_record_key(id), storage::encode_final_state(state),
                                  result.revision);
     shared_state_.apply_response(storage::job_key(id), std::nullopt, result.revision);
--- a/src/coordination/leader/leader.cpp
+++ b/src/coordination/leader/leader.cpp
@@ -70,7 +70,7 @@
   ready_ = true;
   scheduling_.request_plan();
   for (auto& [id, job] : cluster_state_.jobs) jobs_.apply_final_state(id, job);
-  spdlog::info("picture rebuilt token={} jobs={} machines={}", election_.token(),
+  spdlog::info("cluster state rebuilt token={} jobs={} machines={}", election_.token(),
                cluster_state_.jobs.size(), cluster_state_.machines.size());
 }
 
--- a/src/coordination/leader/machine_health.cpp
+++ b/src/coordination/leader/machine_health.cpp
@@ -28,7 +28,7 @@
 
 void MachineHealth::mark_unresponsive(Machine& machine, const std::string& why) const {
   if (std::exchange(machine.is_unresponsive, true)) return;
-  spdlog::info("machine seems not to hear us id={} why=\"{}\"", machine.id, why);
+  spdlog::info("machine unresponsive id={} why=\"{}\"", machine.id, why);
   machine.unresponsive_since = runtime_.now();
 }
 
@@ -37,7 +37,7 @@
   const Seconds lease = with_clock_drift(settings_.worker_lease);
   if (machine.is_unresponsive && machine.has_acknowledged_token &&
       now - machine.incarnation_started_at > lease && now - machine.unresponsive_since > lease) {
-    spdlog::info("machine hears us again id={}", machine.id);
+    spdlog::info("machine responsive again id={}", machine.id);
     machine.is_unresponsive = false;
     machine.incarnations_without_start = 0;
   }
@@ -57,7 +57,7 @@
   }
   if (!any_placement([](const Placement& each) { return each.start_incarnation != 0; })) return;
   if (++machine.incarnations_without_start >= constants::max_unacknowledged_starts)
-    mark_unresponsive(machine, "starts are not shown before its lease ends");
+    mark_unresponsive(machine, "starts unacknowledged until its lease ended");
 }
 
 void MachineHealth::record_failure(Machine& machine, const Placement& placement,
--- a/src/coordination/leader/task_reconciler.cpp
+++ b/src/coordination/leader/task_reconciler.cpp
@@ -143,7 +143,7 @@
       remove_placement(machine, each);
     } else if (each.start_incarnation != 0 &&
                ++each.unacknowledged_starts >= constants::max_unacknowledged_starts) {
-      health_.mark_unresponsive(machine, "starts are not shown");
+      health_.mark_unresponsive(machine, "starts unacknowledged");
       remove_placement(machine, each);
     }
   }
@@ -176,7 +176,7 @@
 
 void TaskReconciler::evict_all(Machine& machine, const std::string& why) {
   if (!machine.placements.empty())
-    spdlog::info("machine emptied id={} tasks={} why=\"{}\"", machine.id, machine.placements.size(),
+    spdlog::info("machine evicted id={} tasks={} why=\"{}\"", machine.id, machine.placements.size(),
                  why);
   for (auto& each : machine.placements) remove_placement(machine, each);
   machine.placements.clear();
--- a/src/planning/autoscaler/autoscaler.cpp
+++ b/src/planning/autoscaler/autoscaler.cpp
@@ -16,6 +16,7 @@
 
 std::vector<RentalOrder> make_rental_orders(const std::map<Offer, int>& missing_machines) {
   std::vector<RentalOrder> orders;
+  orders.reserve(missing_machines.size());
   for (const auto& [offer, count] : missing_machines)
     orders.push_back({offer, std::min(count, constants::max_rented_machines)});
   std::stable_sort(orders.begin(), orders.end(),
--- a/src/planning/autoscaler/offer_selector.cpp
+++ b/src/planning/autoscaler/offer_selector.cpp
@@ -20,6 +20,22 @@
   return std::exp2(delay / constants::service_delay_worth);
 }
 
+/// On-demand and spot machines of the type in each of its zones.
+std::vector<Offer> offers_of(const protocol::MachineType& type) {
+  std::vector<Offer> offers;
+  offers.reserve(2 * type.zones.size());
+  for (const auto& zone : type.zones)
+    for (const bool spot : {false, true}) offers.push_back({type.name, zone, spot});
+  return offers;
+}
+
+/// The price, raised for kinds that the fleet has much of and for kinds whose boots are overdue.
+double weighted_price(double price, const Offer& offer, const FleetComposition& composition) {
+  // No type or zone should hold the whole fleet.
+  const double spread_factor = 1 + constants::kind_spread * composition.available_share(offer);
+  return price * spread_factor * (1 + composition.overdue_share(offer));
+}
+
 }  // namespace
 
 std::optional<Offer> OfferSelector::cheapest(const JobSpec& spec, bool prefer_quick_start,
@@ -30,22 +46,15 @@
     const auto tasks_per_machine = spec.each.times_in(type.size);
     if (tasks_per_machine <= 0) continue;
     const double delay_factor = prefer_quick_start ? start_delay_factor(spec, type) : 1;
-    for (const auto& zone : type.zones)
-      for (const bool spot : {false, true}) {
-        const Offer offer{type.name, zone, spot};
-        if (!may_run_on(spec, offer) || refused_.contains(offer)) continue;
-        const double price =
-            (spot ? type.spot_price : type.price) / static_cast<double>(tasks_per_machine);
-        // No type or zone should hold the whole fleet.
-        const double spread_factor =
-            1 + constants::kind_spread * composition.available_share(offer);
-        const double score =
-            price * spread_factor * (1 + composition.overdue_share(offer)) * delay_factor;
-        if (!best || score < lowest_score) {
-          best = offer;
-          lowest_score = score;
-        }
-      }
+    for (const Offer& offer : offers_of(type)) {
+      if (!may_run_on(spec, offer) || refused_.contains(offer)) continue;
+      const double price =
+          (offer.spot ? type.spot_price : type.price) / static_cast<double>(tasks_per_machine);
+      const double score = weighted_price(price, offer, composition) * delay_factor;
+      if (best && score >= lowest_score) continue;
+      best = offer;
+      lowest_score = score;
+    }
   }
   return best;
 }
--- a/src/planning/planner.cpp
+++ b/src/planning/planner.cpp
@@ -33,10 +33,9 @@
 };
 
 /// Whether a gang may be placed as a whole, or lost tasks of it be replaced.
-bool is_gang_schedulable(const cluster::ClusterState& cluster_state, const Job& gang,
-                         const PlanningContext& context) {
+bool is_gang_schedulable(const Job& gang, const PlanningContext& context) {
   return gang.placements.empty() ||
-         cluster_state.may_replace_tasks(gang, context.now, context.gang_task_replacement_window);
+         gang.may_replace_tasks(context.now, context.gang_task_replacement_window);
 }
 
 SchedulableJobs find_schedulable_jobs(const cluster::ClusterState& cluster_state,
@@ -49,7 +48,7 @@
     if (job.spec().kind == JobKind::service) {
       found.services.push_back(&job);
     } else if (job.is_gang()) {
-      if (is_gang_schedulable(cluster_state, job, context)) found.gangs[priority].push_back(&job);
+      if (is_gang_schedulable(job, context)) found.gangs[priority].push_back(&job);
     } else if (order.is_starved(job)) {
       found.starved_arrays.push_back(&job);
     } else {
--- a/src/protocol/cbor_array.cpp
+++ b/src/protocol/cbor_array.cpp
@@ -9,7 +9,7 @@
 
 /// What the heads of a frame's items claim.
 struct SizeClaims {
-  std::size_t max_items;
+  std::size_t max_items = 0;
   bool plausible = true;
 };
 
@@ -63,9 +63,10 @@
   return {reinterpret_cast<const char*>(buffer), size};
 }
 
-CborArrayReader::CborArrayReader(CborItem item) : array_(std::move(item)) {
-  ok_ = array_ != nullptr && cbor_isa_array(array_.get()) && cbor_array_is_definite(array_.get());
-}
+CborArrayReader::CborArrayReader(CborItem item)
+    : array_(std::move(item)),
+      ok_(array_ != nullptr && cbor_isa_array(array_.get()) &&
+          cbor_array_is_definite(array_.get())) {}
 
 std::size_t CborArrayReader::size() const { return ok_ ? cbor_array_size(array_.get()) : 0; }
 
--- a/tests/unit/autoscaler_test.cpp
+++ b/tests/unit/autoscaler_test.cpp
@@ -31,7 +31,7 @@
     context.types = &types;
     context.teams = &teams;
   }
-  JobSpec replica(const std::string& id) const {
+  static JobSpec replica(const std::string& id) {
     JobSpec job = spec(id, JobKind::service, 1, Priority::production);
     job.each = {4000, 0, 4000};
     job.spot = false;
--- a/tests/unit/cluster_state_test.cpp
+++ b/tests/unit/cluster_state_test.cpp
@@ -91,12 +91,12 @@
   job.gang.task_lost_at = SteadyTime{Seconds{12}};
   const SteadyTime now{Seconds{15}};
   machine.last_heartbeat_at = SteadyTime{Seconds{11}};
-  EXPECT_FALSE(cluster_state.may_replace_tasks(job, now, Seconds{20}));
+  EXPECT_FALSE(job.may_replace_tasks(now, Seconds{20}));
   machine.last_heartbeat_at = SteadyTime{Seconds{13}};
-  EXPECT_TRUE(cluster_state.may_replace_tasks(job, now, Seconds{20}));
-  EXPECT_FALSE(cluster_state.may_replace_tasks(job, now, Seconds{4}));
+  EXPECT_TRUE(job.may_replace_tasks(now, Seconds{20}));
+  EXPECT_FALSE(job.may_replace_tasks(now, Seconds{4}));
   job.gang.phase = GangAttempt::Phase::running;
-  EXPECT_FALSE(cluster_state.may_replace_tasks(job, now, Seconds{20}));
+  EXPECT_FALSE(job.may_replace_tasks(now, Seconds{20}));
 }
 
 TEST_F(ClusterStateTest, TheLeastRecentlyUsedImagesLeaveAFullCache) {
--- a/tests/unit/heartbeat_handler_test.cpp
+++ b/tests/unit/heartbeat_handler_test.cpp
@@ -33,24 +33,24 @@
 }
 
 TEST_F(HeartbeatHandlerTest, MachineWithoutOurTokenIsNotAdopted) {
-  auto beat = heartbeat(Machine{}, 1);
-  beat.machine = "n-1";
-  beat.token = 3;  // not ours, which is 0
-  EXPECT_EQ(handler.find_or_adopt_machine(beat), nullptr);
+  auto received = heartbeat(Machine{}, 1);
+  received.machine = "n-1";
+  received.token = 3;  // not ours, which is 0
+  EXPECT_EQ(handler.find_or_adopt_machine(received), nullptr);
   EXPECT_TRUE(cluster_state.machines.empty());
   const Machine& known = add_machine("n-2");
-  beat.machine = "n-2";
-  EXPECT_EQ(handler.find_or_adopt_machine(beat), &known);
+  received.machine = "n-2";
+  EXPECT_EQ(handler.find_or_adopt_machine(received), &known);
 }
 
 TEST_F(HeartbeatHandlerTest, NewIncarnationEndsAllTasksOfTheLast) {
   Machine& machine = add_machine("a1");
   Job& job = add_job("req-1", JobKind::array, 2);
   place(machine, job);
-  auto beat = heartbeat(machine, 1);
-  beat.incarnation = machine.incarnation + 1;
-  handler.process(machine, beat);
-  EXPECT_EQ(machine.incarnation, beat.incarnation);
+  auto received = heartbeat(machine, 1);
+  received.incarnation = machine.incarnation + 1;
+  handler.process(machine, received);
+  EXPECT_EQ(machine.incarnation, received.incarnation);
   EXPECT_TRUE(machine.placements.empty());
   EXPECT_EQ(job.waiting(), 2u);
   // It was answered just now, and its lease should not have expired.
@@ -59,10 +59,10 @@
 
 TEST_F(HeartbeatHandlerTest, UnknownTasksAreStoppedAndExitedOnesForgotten) {
   Machine& machine = add_machine("a1");
-  auto beat = heartbeat(machine, 1);
-  beat.tasks = {{"req-8", 0, 1, TaskState::running, ExitCause::none, false},
-                {"req-9", 0, 1, TaskState::exited, ExitCause::stopped, false}};
-  const auto commands = handler.process(machine, beat);
+  auto received = heartbeat(machine, 1);
+  received.tasks = {{"req-8", 0, 1, TaskState::running, ExitCause::none, false},
+                    {"req-9", 0, 1, TaskState::exited, ExitCause::stopped, false}};
+  const auto commands = handler.process(machine, received);
   ASSERT_EQ(commands.size(), 2u);
   EXPECT_EQ(commands[0].op, Command::Op::stop);
   EXPECT_EQ(commands[1].op, Command::Op::forget);
@@ -72,9 +72,9 @@
   Machine& machine = add_machine("a1");
   Job& job = add_job("req-1", JobKind::array, 1);
   const Placement& placement = place(machine, job);
-  auto beat = heartbeat(machine, 1);
-  beat.tasks = {reported(placement, TaskState::exited, ExitCause::done)};
-  EXPECT_TRUE(handler.process(machine, beat).empty());
+  auto received = heartbeat(machine, 1);
+  received.tasks = {reported(placement, TaskState::exited, ExitCause::done)};
+  EXPECT_TRUE(handler.process(machine, received).empty());
   EXPECT_EQ(machine.placements.size(), 1u);
 }
 
@@ -82,17 +82,17 @@
   Machine& machine = add_machine("a1");
   place(machine, add_job("req-1", JobKind::service, 1));
   place(machine, add_job("req-2", JobKind::array, 1));
-  auto beat = heartbeat(machine, 1);
+  auto received = heartbeat(machine, 1);
   for (const auto& placement : machine.placements)
-    beat.tasks.push_back(reported(placement, TaskState::running));
-  beat.preemption_notice = Seconds{20};
-  EXPECT_EQ(handler.process(machine, beat).size(), 1u);
+    received.tasks.push_back(reported(placement, TaskState::running));
+  received.preemption_notice = Seconds{20};
+  EXPECT_EQ(handler.process(machine, received).size(), 1u);
   EXPECT_TRUE(machine.preemption_noticed);
   EXPECT_TRUE(machine.placements[0].stopping);
   EXPECT_FALSE(machine.placements[1].stopping);
-  beat.sequence = 2;
-  beat.preemption_notice = Seconds{5};  // two and a half heartbeats
-  EXPECT_EQ(handler.process(machine, beat).size(), 2u);
+  received.sequence = 2;
+  received.preemption_notice = Seconds{5};  // two and a half heartbeats
+  EXPECT_EQ(handler.process(machine, received).size(), 2u);
   EXPECT_TRUE(machine.placements[1].stopping);
 }
 
--- a/tests/unit/journal_test.cpp
+++ b/tests/unit/journal_test.cpp
@@ -47,7 +47,7 @@
                                        RentalRequested{"h-1-2", {"g", "b", false, 2}},
                                        RentalSettled{"h-1-1"}};
 
-TEST(Journal, ReplayGivesThePresent) {
+TEST(Journal, ReplayRestoresTheLatestState) {
   const ReplayedState replayed = replay(day);
   const ReplayedJob& job = replayed.jobs.at("req-1");
   EXPECT_TRUE(job.is_finished(0));
@@ -60,7 +60,7 @@
   EXPECT_EQ(replayed.rentals.size(), 1u);
 }
 
-TEST(Journal, MergedEntriesSayTheSame) {
+TEST(Journal, MergedEntriesReplayToTheSameState) {
   const auto few = merged(day);
   EXPECT_LT(few.size(), day.size());
   const ReplayedState a = replay(day);
@@ -71,7 +71,7 @@
     EXPECT_EQ(b.jobs.at("req-1").placed.at(index).attempt, task.attempt);
 }
 
-TEST(Journal, ALaterSessionAndALossEmptyTheMachine) {
+TEST(Journal, ANewIncarnationAndARemovalEvictAllTasks) {
   auto entries = day;
   entries.push_back(IncarnationStarted{"n-1", 2});
   EXPECT_TRUE(replay(entries).jobs.at("req-1").placed.empty());
@@ -82,7 +82,7 @@
   EXPECT_FALSE(replay(entries).machines.contains("n-1"));
 }
 
-TEST(Journal, WhatHasFinishedIsNeverPlacedAgain) {
+TEST(Journal, AFinishedTaskIsNeverPlacedAgain) {
   auto entries = day;
   entries.push_back(TaskPlaced{"req-1", 12, {{"n-2", {0, 0}}}});
   EXPECT_FALSE(replay(entries).jobs.at("req-1").placed.contains(0));
@@ -102,7 +102,7 @@
   return reader;
 }
 
-TEST(Journal, ASnapshotReplacesWhatLiesBeforeIt) {
+TEST(Journal, ASnapshotReplacesEarlierSegments) {
   const std::string head = encode(JournalHead{3, 1, 7}).dump();
   const auto reader = reader_of(
       {{keys::journal_head, head},
@@ -120,7 +120,7 @@
 }
 
 // Damage is never read as "nothing is placed".
-TEST(Journal, WhatIsMissingOrUnknownIsRefused) {
+TEST(Journal, MissingOrUnknownRecordsAreRejected) {
   const auto segment = [](std::uint64_t number) {
     return std::make_pair(segment_key(number),
                           encode_chunk(number, 1, texts({MachineRemoved{"n-1"}})));
--- a/tests/unit/replica_rebalancer_test.cpp
+++ b/tests/unit/replica_rebalancer_test.cpp
@@ -11,8 +11,7 @@
   // Places running replicas of a service on the machine.
   void run_replicas(Machine& machine, std::uint32_t count) {
     Job& job = add_job("req-1", JobKind::service, count);
-    for (std::uint32_t i = 0; i < count; ++i)
-      place(machine, job).phase = PlacementPhase::running;
+    for (std::uint32_t i = 0; i < count; ++i) place(machine, job).phase = PlacementPhase::running;
   }
   static std::size_t stopping(const Machine& machine) {
     return static_cast<std::size_t>(
--- a/tests/unit/task_reconciler_test.cpp
+++ b/tests/unit/task_reconciler_test.cpp
@@ -15,14 +15,14 @@
   Machine& machine = add_machine("a1");
   Job& job = add_job("req-1", JobKind::array, 1);
   const Placement& placement = place(machine, job);
-  auto beat = heartbeat(machine, 1);
-  beat.tasks = {reported(placement, TaskState::fetching)};
-  reconciler.reconcile(machine, beat);
+  auto received = heartbeat(machine, 1);
+  received.tasks = {reported(placement, TaskState::fetching)};
+  reconciler.reconcile(machine, received);
   EXPECT_EQ(placement.phase, PlacementPhase::fetching);
   EXPECT_FALSE(machine.holds("img"));
-  beat = heartbeat(machine, 2);
-  beat.tasks = {reported(placement, TaskState::running)};
-  reconciler.reconcile(machine, beat);
+  received = heartbeat(machine, 2);
+  received.tasks = {reported(placement, TaskState::running)};
+  reconciler.reconcile(machine, received);
   EXPECT_EQ(placement.phase, PlacementPhase::running);
   EXPECT_EQ(placement.last_reported_sequence, 2u);
   EXPECT_EQ(job.running, 1u);
@@ -33,9 +33,9 @@
   Machine& machine = add_machine("a1");
   Job& job = add_job("req-1", JobKind::array, 2);
   const Placement& placement = place(machine, job);
-  auto beat = heartbeat(machine, 1);
-  beat.tasks = {reported(placement, TaskState::exited, ExitCause::done)};
-  reconciler.reconcile(machine, beat);
+  auto received = heartbeat(machine, 1);
+  received.tasks = {reported(placement, TaskState::exited, ExitCause::done)};
+  reconciler.reconcile(machine, received);
   EXPECT_EQ(job.finished, 1u);
   ASSERT_EQ(machine.placements.size(), 1u);
   EXPECT_TRUE(machine.placements[0].finished);
@@ -48,9 +48,9 @@
   Machine& machine = add_machine("a1");
   Job& job = add_job("req-1", JobKind::array, 1);
   const Placement& placement = place(machine, job);
-  auto beat = heartbeat(machine, 1);
-  beat.tasks = {reported(placement, TaskState::exited, ExitCause::error)};
-  reconciler.reconcile(machine, beat);
+  auto received = heartbeat(machine, 1);
+  received.tasks = {reported(placement, TaskState::exited, ExitCause::error)};
+  reconciler.reconcile(machine, received);
   EXPECT_EQ(job.waiting(), 1u);
   EXPECT_TRUE(machine.placements.empty());
   EXPECT_EQ(machine.failures, 1);
@@ -60,9 +60,9 @@
   Machine& machine = add_machine("a1");
   Job& job = add_job("req-1", JobKind::array, 1);
   const Placement& placement = place(machine, job);
-  auto beat = heartbeat(machine, 1);
-  beat.tasks = {reported(placement, TaskState::running)};
-  reconciler.reconcile(machine, beat);
+  auto received = heartbeat(machine, 1);
+  received.tasks = {reported(placement, TaskState::running)};
+  reconciler.reconcile(machine, received);
   reconciler.reconcile(machine, heartbeat(machine, 2));
   EXPECT_EQ(job.waiting(), 1u);
   EXPECT_EQ(job.running, 0u);
@@ -105,9 +105,9 @@
   GangTracker::on_placed(gang, 1, caller.now());
   place(machine, gang);
   place(machine, gang);
-  auto beat = heartbeat(machine, 1);
-  beat.tasks = {reported(machine.placements[0], TaskState::exited, ExitCause::done)};
-  reconciler.reconcile(machine, beat);
+  auto received = heartbeat(machine, 1);
+  received.tasks = {reported(machine.placements[0], TaskState::exited, ExitCause::done)};
+  reconciler.reconcile(machine, received);
   EXPECT_TRUE(gang.all_finished());
 }
 
--- a/tests/unit/victim_selector_test.cpp
+++ b/tests/unit/victim_selector_test.cpp
@@ -62,7 +62,7 @@
   EXPECT_TRUE(victims().empty());
 }
 
-TEST_F(VictimSelectorTest, AGangThatCannotBeToldToStopIsLeftAlone) {
+TEST_F(VictimSelectorTest, AGangThatTakesNoCommandsIsLeftAlone) {
   machine.size.cpus = 2000;
   place("gang", JobKind::gang, Priority::low, steady_at(1));
   Machine& unresponsive = add(cluster_state, "b1", 8);
