--- a/tests/simulation/heartbeat_network.cpp
+++ b/tests/simulation/heartbeat_network.cpp
@@ -38,7 +38,7 @@
 }
 
 void HeartbeatNetwork::transmit(ControllerProcess& to, const std::string& body,
-                                Worker::OnResponse on_response) {
+                                const Worker::OnResponse& on_response) {
   const auto respond = [this, &to, on_response](const HttpResponse& response) {
     if (to.partition().workers) return;
     queue_.after(queue_.uniform(min_latency, max_latency),
--- a/tests/simulation/heartbeat_network.hpp
+++ b/tests/simulation/heartbeat_network.hpp
@@ -26,7 +26,8 @@
 
  private:
   void duplicate(const std::string& body);
-  void transmit(ControllerProcess& to, const std::string& body, Worker::OnResponse on_response);
+  void transmit(ControllerProcess& to, const std::string& body,
+                const Worker::OnResponse& on_response);
   Worker::OnResponse with_response_faults(const std::string& machine,
                                           Worker::OnResponse on_response);
 
--- a/tests/simulation/task_runner.cpp
+++ b/tests/simulation/task_runner.cpp
@@ -15,13 +15,13 @@
 }  // namespace
 
 TaskRunner::TaskRunner(EventQueue& queue, InvariantChecker& invariants, Gangs& gangs,
-                       const HostMachine& host, const protocol::MachineType& type,
+                       HostMachine host, protocol::MachineType type,
                        std::function<void()> on_change)
     : queue_(queue),
       invariants_(invariants),
       gangs_(gangs),
-      host_(host),
-      type_(type),
+      host_(std::move(host)),
+      type_(std::move(type)),
       on_change_(std::move(on_change)) {}
 
 void TaskRunner::shut_down() {
--- a/tests/simulation/task_runner.hpp
+++ b/tests/simulation/task_runner.hpp
@@ -21,8 +21,8 @@
 class TaskRunner : public GangHost {
  public:
   /// `on_change` runs whenever a task has reached another stage.
-  TaskRunner(EventQueue& queue, InvariantChecker& invariants, Gangs& gangs, const HostMachine& host,
-             const protocol::MachineType& type, std::function<void()> on_change);
+  TaskRunner(EventQueue& queue, InvariantChecker& invariants, Gangs& gangs, HostMachine host,
+             protocol::MachineType type, std::function<void()> on_change);
 
   /// Starts an attempt of a task; it exits at once if it is unknown, runs already or has no room.
   /// Does nothing if the attempt is known.
--- a/tests/unit/controller_test.cpp
+++ b/tests/unit/controller_test.cpp
@@ -65,7 +65,7 @@
         caller.wall_now() - Seconds{queue.now()} + outage_at;
     return status;
   }
-  void deliver(const PeerStatus& status) {
+  void deliver(const PeerStatus& status) const {
     peers.deliver_frame(protocol::encode_peer_status(status));
   }
 
--- a/tests/unit/journal_writer_test.cpp
+++ b/tests/unit/journal_writer_test.cpp
@@ -47,7 +47,7 @@
     journal->on_snapshot([this] {
       std::vector<storage::JournalEntry> out;
       for (const auto& [id, machine] : replayed.machines)
-        out.push_back(
+        out.emplace_back(
             storage::MachineRegistered{id, "g", "a", false, machine.incarnation, wall_at(0)});
       return out;
     });
