--- a/src/protocol/state_messages.cpp
+++ b/src/protocol/state_messages.cpp
@@ -13,7 +13,12 @@
 // The state service's text for a lease that it does not know.
 constexpr const char* unknown_lease_text = "no such lease";
 
-std::string field_prefix(const char* name) { return "\"" + std::string(name) + "\":"; }
+std::string field_prefix(const char* name) {
+  std::string out = "\"";
+  out += name;
+  out += "\":";
+  return out;
+}
 
 std::string encode_condition(const Condition& condition) {
   return Json{{wire::key, condition.key}, {wire::version, condition.version}}.dump();
@@ -22,10 +27,19 @@
 // Values are JSON text already, so the change is put together around them.
 std::string encode_change(const Change& change) {
   if (!change.value) return Json{{wire::remove, change.key}}.dump();
-  std::string out = "{" + field_prefix(wire::write) + Json(change.key).dump() + "," +
-                    field_prefix(wire::value) + *change.value;
-  if (change.lease != 0) out += "," + field_prefix(wire::lease) + std::to_string(change.lease);
-  return out + "}";
+  std::string out = "{";
+  out += field_prefix(wire::write);
+  out += Json(change.key).dump();
+  out += ',';
+  out += field_prefix(wire::value);
+  out += *change.value;
+  if (change.lease != 0) {
+    out += ',';
+    out += field_prefix(wire::lease);
+    out += std::to_string(change.lease);
+  }
+  out += '}';
+  return out;
 }
 
 template <typename Item>
@@ -70,8 +84,14 @@
 }
 
 std::string encode_transaction(const Transaction& transaction) {
-  return "{" + field_prefix("when") + encode_list(transaction.conditions, encode_condition) + "," +
-         field_prefix("apply") + encode_list(transaction.changes, encode_change) + "}";
+  std::string out = "{";
+  out += field_prefix("when");
+  out += encode_list(transaction.conditions, encode_condition);
+  out += ',';
+  out += field_prefix("apply");
+  out += encode_list(transaction.changes, encode_change);
+  out += '}';
+  return out;
 }
 
 std::string encode_lease_request(std::chrono::milliseconds ttl) {
