--- a/tests/unit/bin_packer_test.cpp
+++ b/tests/unit/bin_packer_test.cpp
@@ -15,7 +15,7 @@
     context.teams = &teams;
   }
   BinPacker make_packer() const {
-    return BinPacker(measure_supply(cluster_state, context), types, selector);
+    return {measure_supply(cluster_state, context), types, selector};
   }
   static TaskDemand demand_for(const JobSpec& job) { return {job, job.tasks, job.tasks}; }
 
--- a/tests/unit/journal_test.cpp
+++ b/tests/unit/journal_test.cpp
@@ -73,18 +73,18 @@
 
 TEST(Journal, ANewIncarnationAndARemovalEvictAllTasks) {
   auto entries = day;
-  entries.push_back(IncarnationStarted{"n-1", 2});
+  entries.emplace_back(IncarnationStarted{"n-1", 2});
   EXPECT_TRUE(replay(entries).jobs.at("req-1").placed.empty());
   EXPECT_EQ(replay(entries).machines.at("n-1").incarnation, 2u);
   entries = day;
-  entries.push_back(MachineRemoved{"n-1"});
+  entries.emplace_back(MachineRemoved{"n-1"});
   EXPECT_TRUE(replay(entries).jobs.at("req-1").placed.empty());
   EXPECT_FALSE(replay(entries).machines.contains("n-1"));
 }
 
 TEST(Journal, AFinishedTaskIsNeverPlacedAgain) {
   auto entries = day;
-  entries.push_back(TaskPlaced{"req-1", 12, {{"n-2", {0, 0}}}});
+  entries.emplace_back(TaskPlaced{"req-1", 12, {{"n-2", {0, 0}}}});
   EXPECT_FALSE(replay(entries).jobs.at("req-1").placed.contains(0));
 }
 
