--- a/src/coordination/leader/failover_recovery.cpp
+++ b/src/coordination/leader/failover_recovery.cpp
@@ -43,7 +43,8 @@
   is_waiting_for_lease_expiry_ = false;
 }
 
-// The jobs come by the watch of the shared state; it must have passed our own election.
+// The job records come from the watch of the shared state, which must have reached the revision of
+// this controller's election.
 void FailoverRecovery::wait_for_shared_state() {
   if (shared_state_.revision() >= election_.fence().version) return load_journal();
   runtime_.after(constants::leader_tick, term_.wrap([this] { wait_for_shared_state(); }));
@@ -56,11 +57,13 @@
   }));
 }
 
-// A former leader stops responding early enough that the leases it kept alive expire within the
-// cancel timeout of its last renewal (Controller::may_respond_until). Nobody renews them now, so
-// nothing runs any more after that time.
+// A former leader stops responding to workers early enough that the worker leases it kept alive
+// expire within `cancel_timeout` of its last renewal of the leader lease
+// (Controller::may_respond_until). No controller renews worker leases now, so no task runs after
+// that time.
 void FailoverRecovery::wait_for_lease_expiry() {
-  spdlog::error("waiting until every lease has ended seconds={}", settings_.cancel_timeout.count());
+  spdlog::error("journal unreadable, waiting for all worker leases to expire seconds={}",
+                settings_.cancel_timeout.count());
   is_waiting_for_lease_expiry_ = true;
   runtime_.after(with_clock_drift(settings_.cancel_timeout),
                  term_.wrap([this] { reset_journal(); }));
@@ -111,8 +114,8 @@
   Machine& machine = cluster_state_.machines.emplace(id, std::move(restored)).first->second;
   for (const auto& [job_id, index] : known.tasks) {
     Job* job = cluster_state_.job(job_id);
-    if (job == nullptr || index >= job->phases.size()) continue;  // ended: nothing is left to do
-    if (job->is_task_finished(index)) continue;                   // its gang has completed
+    if (job == nullptr || index >= job->phases.size()) continue;  // The job has ended.
+    if (job->is_task_finished(index)) continue;                   // The gang has completed.
     const auto& task = replayed.jobs.at(job_id).placed.at(index);
     cluster_state_.restore(machine, *job, index, task.attempt, now);
   }
--- a/src/coordination/leader/failover_recovery.hpp
+++ b/src/coordination/leader/failover_recovery.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Rebuilds the cluster state after an election, from the job records of the shared state and the
-/// journal of the former leaders.
+/// Rebuilds the cluster state after an election from the job records of the shared state and the
+/// journal of former leaders.
 #pragma once
 
 #include <functional>
@@ -22,22 +22,22 @@
 
 class FailoverRecovery {
  public:
-  /// `on_recovered` is called once for each `begin`, when the cluster state is complete; never if
-  /// `end_term` comes first.
+  /// `on_recovered` is called once for each `begin`, after the cluster state has been rebuilt. It
+  /// is not called if `end_term` comes first.
   FailoverRecovery(transport::Runtime& runtime, const SharedStateCache& shared_state,
                    const LeaderElection& election, JournalWriter& journal, FleetManager& fleet,
                    cluster::ClusterState& cluster_state, JobRegistry& jobs,
                    const protocol::Settings& settings, std::function<void()> on_recovered);
 
-  /// Starts a recovery: this controller was elected. Former leaders can change nothing any more,
-  /// since their transactions name an older version of the leader's key.
+  /// Starts a recovery after this controller was elected. Transactions of former leaders can no
+  /// longer commit, since they are conditional on an older version of the leader's key.
   void begin();
 
-  /// Ends a recovery that is under way: this controller was deposed.
+  /// Cancels a recovery in progress, because this controller was deposed.
   void end_term();
 
-  /// Whether the journal could not be read, so that anything may run anywhere: until the leases of
-  /// all workers have expired, no heartbeat may be answered.
+  /// Whether the journal is unreadable, so that any task may still run on any machine, and this
+  /// controller waits for all worker leases to expire. No heartbeat may be answered until then.
   bool is_waiting_for_lease_expiry() const { return is_waiting_for_lease_expiry_; }
 
  private:
--- a/src/coordination/leader/heartbeat_handler.cpp
+++ b/src/coordination/leader/heartbeat_handler.cpp
@@ -36,9 +36,9 @@
 Machine* HeartbeatHandler::find_or_adopt_machine(const protocol::Heartbeat& heartbeat) {
   const auto it = cluster_state_.machines.find(heartbeat.machine);
   if (it != cluster_state_.machines.end()) return &it->second;
-  // A late copy of a heartbeat must not bring back a machine that is gone: only one whose worker
-  // has seen our token, and that we have not released, is registered. The others get our token
-  // first.
+  // A delayed copy of a heartbeat must not register a removed machine again. So a machine is
+  // registered only if its worker has seen this leader's token and this leader has not released it.
+  // Any other worker first receives the token in the response.
   if (fleet_.released(heartbeat.machine) || heartbeat.token != election_.token()) return nullptr;
   Machine machine;
   machine.id = heartbeat.machine;
@@ -78,7 +78,7 @@
     if (machine.has_acknowledged_token &&
         now - machine.last_response_at <
             settings_.worker_lease - constants::worker_response_timeout)
-      health_.mark_unresponsive(machine, "its lease expired although it was answered");
+      health_.mark_unresponsive(machine, "lease expired although a response was sent in time");
   }
   machine.incarnation = incarnation;
   machine.incarnation_started_at = now;
@@ -100,8 +100,9 @@
   machine.has_acknowledged_token = has_acknowledged_token;
 }
 
-// Tasks of a machine that is about to be preempted are stopped in time to be proven off it before
-// it disappears. Services are stopped at once: they lose nothing, and start elsewhere the sooner.
+// Stops the tasks of a machine that will be preempted early enough that they are proven to be off
+// it before it disappears. Services are stopped at once: they lose no progress, and so start sooner
+// on another machine.
 void HeartbeatHandler::prepare_for_preemption(Machine& machine, Seconds time_left) {
   if (!std::exchange(machine.preemption_noticed, true)) {
     spdlog::info("machine preemption notice id={} in_s={}", machine.id, time_left.count());
@@ -124,7 +125,7 @@
     const Placement* placement = machine.find(reported.job, reported.index, reported.attempt);
     Command command{Command::Op::stop, reported.job, reported.index, reported.attempt, Seconds{0}};
     if (reported.state == TaskState::exited) {
-      // The worker keeps a finished task until the journal records it.
+      // The worker keeps a finished task until its journal entry is durable.
       if (placement != nullptr && placement->finished &&
           !journal_.is_durable(placement->log_position))
         continue;
@@ -139,7 +140,8 @@
   return commands;
 }
 
-// A finished task that is durable and not reported any more has been forgotten by its worker.
+// The worker has executed the forget command for a finished task that it no longer reports and
+// whose journal entry is durable, so the placement is not needed any more.
 void HeartbeatHandler::erase_forgotten_placements(Machine& machine, std::uint64_t sequence) const {
   std::erase_if(machine.placements, [&](const Placement& each) {
     return each.finished && each.last_reported_sequence != sequence &&
--- a/src/coordination/leader/heartbeat_handler.hpp
+++ b/src/coordination/leader/heartbeat_handler.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Takes in workers' heartbeats, and makes the commands that answer them. Starts are not among
-/// those: the HeartbeatResponder adds them when the response is sent.
+/// Processes workers' heartbeats and creates the stop and forget commands of the responses. The
+/// HeartbeatResponder adds the start commands when it sends a response.
 #pragma once
 
 #include <functional>
@@ -21,23 +21,25 @@
 
 class HeartbeatHandler {
  public:
-  /// `request_plan` is called when tasks may be placed that could not be before.
+  /// `request_plan` is called when the next plan may place tasks that earlier plans could not.
   HeartbeatHandler(const transport::Runtime& runtime, cluster::ClusterState& cluster_state,
                    const LeaderElection& election, JournalWriter& journal, FleetManager& fleet,
                    TaskReconciler& reconciler, const MachineHealth& health,
                    const TaskStopper& stopper, const protocol::Settings& settings,
                    std::function<void()> request_plan);
 
-  /// Returns the machine that sent the heartbeat, and registers it if it is not known yet; null if
-  /// it may not be registered.
+  /// Returns the machine that sent the heartbeat. Registers it if the cluster state does not hold
+  /// it; returns null if this leader released it, if its worker has not seen this leader's token,
+  /// or if its type is unknown.
   cluster::Machine* find_or_adopt_machine(const protocol::Heartbeat& heartbeat);
 
-  /// Whether the heartbeat is newer than all that were processed for the machine: copies and late
-  /// ones tell nothing.
+  /// Whether the heartbeat is newer than all heartbeats processed for the machine so far. Duplicate
+  /// and delayed heartbeats describe a past state and must not be processed.
   static bool is_newer(const protocol::Heartbeat& heartbeat, const cluster::Machine& machine);
 
-  /// Applies a heartbeat, which must be newer, to the machine and its placements. Returns the stops
-  /// that the worker is to carry out, and the exited tasks that it may forget.
+  /// Applies a heartbeat, for which `is_newer` must hold, to the machine and its placements.
+  /// Returns stop commands, and forget commands for exited tasks that the worker need not report
+  /// any more.
   std::vector<protocol::Command> process(cluster::Machine& machine,
                                          const protocol::Heartbeat& heartbeat);
 
--- a/src/coordination/leader/heartbeat_responder.cpp
+++ b/src/coordination/leader/heartbeat_responder.cpp
@@ -39,7 +39,7 @@
 bool HeartbeatResponder::may_start(const Placement& placement) const {
   if (placement.phase != PlacementPhase::assigned || placement.stopping) return false;
   const auto job = cluster_state_.jobs.find(placement.job);
-  // A task of a running gang was started before, and has gone if it is not reported.
+  // All tasks of a running gang have been started before: one that is not reported has ended.
   return job == cluster_state_.jobs.end() || !job->second.is_gang() ||
          job->second.gang.phase == cluster::GangAttempt::Phase::assembling;
 }
@@ -47,7 +47,7 @@
 void HeartbeatResponder::send(Machine& machine, PendingResponse response) {
   if (machine.has_acknowledged_token)
     for (auto& each : machine.placements) {
-      // The journal must record the placement before anything starts.
+      // The placement must be durable in the journal before its task is started.
       if (!may_start(each) || !journal_.is_durable(each.log_position)) continue;
       each.start_incarnation = response.incarnation;
       each.start_sequence = response.sequence;
--- a/src/coordination/leader/heartbeat_responder.hpp
+++ b/src/coordination/leader/heartbeat_responder.hpp
@@ -1,9 +1,10 @@
 /// \file
-/// Answers heartbeats: at once, or a moment later when a start for the machine is about to become
-/// durable and can go with the response.
+/// Responds to heartbeats: at once, or after a short delay if a start command for the machine will
+/// soon be durable and can be sent with the response.
 ///
-/// Starts go only with the response to a heartbeat, which a worker never acts on late: it drops the
-/// response after a few seconds, and its next heartbeat tells whether the start arrived.
+/// Start commands are sent only in responses to heartbeats, because a worker never executes those
+/// late: it discards a response that takes longer than `worker_response_timeout`, and its next
+/// heartbeat shows whether the start arrived.
 #pragma once
 
 #include <cstdint>
@@ -27,24 +28,25 @@
                      const LeaderElection& election, const JournalWriter& journal)
       : runtime_(runtime), cluster_state_(cluster_state), election_(election), journal_(journal) {}
 
-  /// Answers a heartbeat that was processed, with `commands` and the starts that are due. Holds the
-  /// response for at most `max_response_hold` if a start for the machine waits for the journal, or
-  /// if `expects_placements`: the next plan may place tasks on the machine. An earlier response
-  /// held for the machine is dropped, since its worker does not wait for it any more.
+  /// Responds to a processed heartbeat with `commands` and all start commands that may be sent by
+  /// then. Holds the response for at most `max_response_hold` if a start for the machine waits for
+  /// the journal, or if `expects_placements` is set because the next plan may place tasks on the
+  /// machine. Drops a response still held for the machine, since its worker no longer waits for it.
   void respond(cluster::Machine& machine, const protocol::Heartbeat& heartbeat,
                std::vector<protocol::Command> commands, bool expects_placements,
                transport::Respond respond);
 
-  /// Sends the held responses that have nothing to wait for any more, or have waited long enough.
+  /// Sends the held responses that wait for neither a plan nor the journal, and those that were
+  /// held for `max_response_hold`.
   void send_due();
 
-  /// A plan was made: sends the held responses that waited for nothing else.
+  /// Must be called after each plan. Sends the held responses that waited only for the plan.
   void on_planned();
 
-  /// Drops the response held for a machine that was removed.
+  /// Drops the response held for a machine, because the machine is removed.
   void drop(const std::string& machine) { pending_.erase(machine); }
 
-  /// Sends all workers whose responses are held to another controller: the term has ended.
+  /// Answers all held responses with a redirect that names no leader, because the term has ended.
   void redirect_all();
 
   bool has_pending() const { return !pending_.empty(); }
@@ -53,9 +55,9 @@
   struct PendingResponse {
     transport::Respond respond;
     std::vector<protocol::Command> commands;
-    std::uint64_t incarnation = 0;  // of the heartbeat
-    std::uint64_t sequence = 0;     // of the heartbeat
-    bool awaits_plan = true;        // no plan was made since the heartbeat came
+    std::uint64_t incarnation = 0;  // The worker's incarnation in the heartbeat.
+    std::uint64_t sequence = 0;     // The heartbeat's sequence number.
+    bool awaits_plan = true;        // Whether no plan was made since the heartbeat arrived.
     SteadyTime hold_until;
   };
 
@@ -68,7 +70,7 @@
   cluster::ClusterState& cluster_state_;
   const LeaderElection& election_;
   const JournalWriter& journal_;
-  std::map<std::string, PendingResponse> pending_;  // by machine
+  std::map<std::string, PendingResponse> pending_;  // Held responses by machine id.
 };
 
 }  // namespace poppystile::coordination
--- a/src/coordination/leader/job_finalizer.cpp
+++ b/src/coordination/leader/job_finalizer.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-// A final record that is written and a job record that is deleted.
+// One change creates the final record, the other deletes the job record.
 constexpr std::size_t changes_per_job = 2;
 
 }  // namespace
@@ -42,7 +42,7 @@
       term_.wrap([this, jobs](const TransactionResult& result) { on_write_result(jobs, result); }));
 }
 
-// Finds jobs whose final record was held up because something else changed their record.
+// Queues jobs whose final record could not be written because their job record had changed.
 void JobFinalizer::sweep_if_due(SteadyTime now) {
   if (now - last_sweep_at_ <= constants::finalize_sweep_interval) return;
   last_sweep_at_ = now;
@@ -89,11 +89,12 @@
   }
 }
 
-// Jobs whose record has changed are left to the sweep, once the watch has shown their new version.
+// Jobs whose record has changed are queued by a later sweep: their final record can be written only
+// after the watch has delivered the new version.
 void JobFinalizer::retry_later(const std::vector<std::string>& jobs,
                                const TransactionResult& result) {
   next_write_at_ = runtime_.now() + constants::state_retry_pause;
-  // The same transaction would be refused again: the sweep queues the jobs anew.
+  // The same transaction would be refused again, so the jobs wait for the next sweep.
   if (result.status == CallStatus::invalid) return;
   for (const auto& id : jobs) {
     const Job* job = cluster_state_.job(id);
--- a/src/coordination/leader/job_finalizer.hpp
+++ b/src/coordination/leader/job_finalizer.hpp
@@ -1,9 +1,10 @@
 /// \file
-/// Writes the final records of jobs that are done or cancelled and have left every machine.
+/// Writes the final records of jobs that have completed, or that were cancelled and have no
+/// placement left.
 ///
 /// One transaction creates the final record and deletes the job record, so a job always has exactly
-/// one of them. It is conditional on the job's version, so that a cancellation that comes first
-/// wins.
+/// one of them. It is conditional on the version of the job record, so that a cancellation that
+/// commits first takes precedence.
 #pragma once
 
 #include <set>
@@ -33,22 +34,23 @@
         election_(election),
         settings_(settings) {}
 
-  /// Drops the queue, and the results of writes under way: the term has ended.
+  /// Clears the queue and ignores the result of a write in flight, because the term has ended.
   void reset();
 
-  /// Queues the job if its final record is due: all its tasks have finished, or it was cancelled
-  /// and has left every machine.
+  /// Queues the job if its final record may be written: all its tasks have finished, or it was
+  /// cancelled and has no placement left.
   void enqueue_if_final(const std::string& id, const cluster::Job& job);
 
-  /// Takes the job off the queue: its record is gone.
+  /// Removes the job from the queue, because its job record was deleted.
   void forget(const std::string& id) { due_.erase(id); }
 
-  /// Writes the next final records, one transaction at a time. Called on each tick while leading.
+  /// Writes the next final records, one transaction at a time. Must be called on each tick while
+  /// this controller leads.
   void pump();
 
  private:
   void sweep_if_due(SteadyTime now);
-  /// Moves as many jobs from the queue into the transaction as it may carry; returns their ids.
+  /// Moves jobs from the queue into the transaction, up to the limit on changes; returns their ids.
   std::vector<std::string> take_due(protocol::Transaction& transaction);
   static protocol::JobState final_state(const cluster::Job& job);
   void on_write_result(const std::vector<std::string>& jobs, const TransactionResult& result);
@@ -64,7 +66,7 @@
   bool write_in_flight_ = false;
   SteadyTime next_write_at_;
   SteadyTime last_sweep_at_;
-  std::set<std::string> due_;  // ids of jobs
+  std::set<std::string> due_;  // Ids of the queued jobs.
 };
 
 }  // namespace poppystile::coordination
--- a/src/coordination/leader/job_registry.hpp
+++ b/src/coordination/leader/job_registry.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Keeps the jobs of the cluster state in step with the job records of the shared state.
+/// Keeps the jobs of the cluster state consistent with the job records of the shared state.
 #pragma once
 
 #include <cstddef>
@@ -17,22 +17,22 @@
 
 class JobRegistry {
  public:
-  /// `request_plan` is called when a job was added or changed.
+  /// `request_plan` is called whenever a job was added or changed.
   JobRegistry(cluster::ClusterState& cluster_state, const SharedStateCache& shared_state,
               const TaskStopper& stopper, JobFinalizer& finalizer,
               std::function<void()> request_plan);
 
-  /// Adds a job, all of whose tasks wait.
+  /// Adds a job with all its tasks waiting; replaces a job that has the same id.
   cluster::Job& add(const std::string& id, const CachedJob& known);
 
-  /// Takes over what the shared state says about a job now. Removes it when its record is gone.
+  /// Applies the present record of a job in the shared state. Removes the job if it has none.
   void on_changed(const std::string& id);
 
-  /// Stops the tasks of a cancelled job, and queues the final record of one that is complete or has
-  /// left every machine.
+  /// Stops the tasks of a cancelled job, and queues the final record of a job that has completed,
+  /// or that was cancelled and has no placement left.
   void apply_final_state(const std::string& id, const cluster::Job& job);
 
-  /// Counts of a job's tasks; zeros if the job is not known.
+  /// Numbers of the job's finished and running tasks; zeros if the cluster state has no such job.
   TaskCounts counts(const std::string& id) const;
 
   /// Ids of at most `max` jobs, in no particular order.
--- a/src/coordination/leader/leader.cpp
+++ b/src/coordination/leader/leader.cpp
@@ -58,7 +58,7 @@
 
 void Leader::start() { tick(); }
 
-// --- the term ---
+// --- term ---
 
 void Leader::on_elected() {
   scheduling_.begin_term(election_.token());
@@ -92,7 +92,7 @@
     respond({200, protocol::encode_commands(election_.token(), {})});
   };
   if (heartbeat.token > election_.token()) {
-    election_.step_down("a worker has seen a higher token");
+    election_.step_down("a worker reported a higher token");
     return respond({421, protocol::encode_redirect("")});
   }
   if (recovery_.is_waiting_for_lease_expiry())
@@ -143,13 +143,13 @@
   check_fleet_size();
 }
 
-// Warns once when the settings leave fewer connections than there are machines.
+// Logs an error once if the socket limit allows fewer incoming connections than there are machines.
 void Leader::check_fleet_size() {
   const double connections = settings_.sockets * constants::server_socket_share;
   const auto machines = static_cast<double>(cluster_state_.machines.size());
   if (machines <= connections || std::exchange(warned_of_fleet_size_, true)) return;
   spdlog::error(
-      "sockets: {} leave {:.0f} connections for workers and users, but there are {} machines",
+      "sockets: {} allows {:.0f} incoming connections, fewer than the {} machines that need one",
       settings_.sockets, connections, machines);
 }
 
--- a/src/coordination/leader/leader.hpp
+++ b/src/coordination/leader/leader.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// What only the leader does: wires the parts together, starts and ends their work with the term,
-/// and runs their passes in a fixed order.
+/// Runs the work of the elected leader: connects its components, starts and ends them with the
+/// leader's term, and runs their periodic passes in a fixed order.
 #pragma once
 
 #include <cstddef>
@@ -33,7 +33,7 @@
 
 namespace poppystile::coordination {
 
-/// Exists on every controller; does nothing while another one leads.
+/// Exists on every controller; inactive unless this controller leads.
 class Leader {
  public:
   Leader(transport::Runtime& runtime, SharedStateCache& shared_state,
@@ -41,22 +41,23 @@
          FleetManager& fleet, const protocol::Settings& settings,
          const protocol::Properties& properties);
 
-  /// Starts the passes; called once.
+  /// Starts the periodic passes. Must be called once.
   void start();
 
-  /// Answers a heartbeat as the leader, at once or when a start for the machine may be sent.
+  /// Processes a heartbeat and responds to it, at once or when a start command for the machine may
+  /// be sent (HeartbeatResponder). This controller must be the leader.
   void handle_heartbeat(const protocol::Heartbeat& heartbeat, transport::Respond respond);
 
-  /// Counts of a job's tasks; zeros if the job is not known.
+  /// Numbers of the job's finished and running tasks; zeros if the cluster state has no such job.
   TaskCounts counts(const std::string& job) const { return jobs_.counts(job); }
 
-  /// Ids of at most `max` jobs.
+  /// Ids of at most `max` jobs, in no particular order.
   std::vector<std::string> job_ids(std::size_t max) const { return jobs_.ids(max); }
 
   /// Whether this controller leads and has rebuilt the cluster state.
   bool ready() const { return ready_; }
 
-  /// Number of machines that have reported to this leader and whose lease has not expired.
+  /// Number of machines that have sent a heartbeat to this leader and whose lease has not expired.
   std::size_t responsive_machine_count() const;
 
  private:
--- a/src/coordination/leader/lease_monitor.cpp
+++ b/src/coordination/leader/lease_monitor.cpp
@@ -23,22 +23,22 @@
 
 void LeaseMonitor::check() {
   for (auto& [id, machine] : cluster_state_.machines) {
-    if (machine.incarnation == 0) continue;  // its worker has never run
+    if (machine.incarnation == 0) continue;  // Its worker has never sent a heartbeat.
     evict_if_former_leases_expired(machine);
     machine.is_overdue = is_overdue(machine);
     expire_lease_if_due(machine);
   }
 }
 
-// A deposed leader stops renewing worker leases early enough that each expires within the cancel
-// timeout of its own last renewal (Controller::may_respond_until). That renewal preceded our
-// election.
+// A deposed leader stops renewing worker leases early enough that each expires within
+// `cancel_timeout` of that leader's last renewal of the leader lease
+// (Controller::may_respond_until). That renewal preceded this controller's election.
 void LeaseMonitor::evict_if_former_leases_expired(Machine& machine) {
   const SteadyTime former_leases_expired =
       election_.elected_at() + with_clock_drift(settings_.cancel_timeout);
   if (machine.has_reported || machine.has_been_answered || machine.placements.empty()) return;
   if (runtime_.now() <= former_leases_expired) return;
-  reconciler_.evict_all(machine, "no heartbeat, and every former leader's responses have expired");
+  reconciler_.evict_all(machine, "no heartbeat, and all leases from former leaders have expired");
 }
 
 bool LeaseMonitor::is_overdue(const Machine& machine) const {
@@ -51,7 +51,7 @@
   if (runtime_.now() - machine.last_response_at <= lease || machine.lease_expired) return;
   machine.lease_expired = true;
   request_plan_();
-  // Only a worker that has seen our token is sure to have dropped all responses of other leaders.
+  // Only a worker that has seen this leader's token is certain to ignore other leaders' responses.
   if (machine.has_acknowledged_token) {
     health_.evaluate_incarnation(machine);
     reconciler_.evict_all(machine, "lease expired");
--- a/src/coordination/leader/lease_monitor.hpp
+++ b/src/coordination/leader/lease_monitor.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Watches the leases of workers: which heartbeats are overdue, which leases have expired, and when
-/// those that former leaders kept alive have surely expired.
+/// Monitors the leases of workers: marks overdue heartbeats and expired leases, and determines when
+/// all leases that former leaders kept alive must have expired.
 #pragma once
 
 #include <functional>
@@ -22,7 +22,8 @@
                const MachineHealth& health, const protocol::Settings& settings,
                std::function<void()> request_plan);
 
-  /// Looks at every machine once, and evicts the tasks of those whose worker has surely ended them.
+  /// Checks every machine once, and evicts all tasks from machines whose worker must have ended
+  /// them because its lease has expired.
   void check();
 
  private:
--- a/src/coordination/leader/machine_health.cpp
+++ b/src/coordination/leader/machine_health.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-// The loss of another task of its gang is no fault of the machine or the job.
+// The loss of another task of the gang is a fault of neither the machine nor the job.
 bool is_nobodys_fault(ExitCause cause) {
   return cause == ExitCause::stopped || cause == ExitCause::done || cause == ExitCause::peer_lost ||
          cause == ExitCause::gang_incomplete;
@@ -44,9 +44,9 @@
   if (machine.has_acknowledged_token && !machine.is_unresponsive) machine.unresponsive_since = now;
 }
 
-// A worker that receives no responses tries one controller after the other, so its heartbeats come
-// to us seldom, and its lease expires between two of them. Unreported starts in several
-// incarnations in a row tell it from a worker whose process paused once.
+// A worker that receives no responses tries one controller after another, so its heartbeats reach
+// this leader rarely, and its lease expires between two of them. Unreported starts in several
+// successive incarnations distinguish it from a worker whose process paused once.
 void MachineHealth::evaluate_incarnation(Machine& machine) const {
   const auto any_placement = [&](auto condition) {
     return std::any_of(machine.placements.begin(), machine.placements.end(), condition);
@@ -57,14 +57,14 @@
   }
   if (!any_placement([](const Placement& each) { return each.start_incarnation != 0; })) return;
   if (++machine.incarnations_without_start >= constants::max_unacknowledged_starts)
-    mark_unresponsive(machine, "starts unacknowledged until its lease ended");
+    mark_unresponsive(machine, "incarnations ended without acknowledging any start");
 }
 
 void MachineHealth::record_failure(Machine& machine, const Placement& placement,
                                    ExitCause cause) const {
   Job* job = cluster_state_.job(placement.job);
   if (job == nullptr || is_nobodys_fault(cause)) return;
-  // A job's other failures on the same machine tell an operator nothing more.
+  // Repeated failures of a job on the same machine give an operator no further information.
   const bool is_news = cause != ExitCause::error || job->failed_on.insert(machine.id).second;
   spdlog::log(is_news ? spdlog::level::info : spdlog::level::debug,
               "task failed job={} index={} machine={} cause={}", placement.job, placement.index,
@@ -76,14 +76,14 @@
   record_machine_failure(machine, placement.job);
 }
 
-// A job that has finished tasks has no fault of its own.
+// A job that has finished tasks is taken to be faultless, however many machines it failed on.
 bool MachineHealth::is_job_at_fault(const Job& job, ExitCause cause) {
   return (job.finished == 0 && job.failed_on.size() >= 2) || cause == ExitCause::unknown;
 }
 
 void MachineHealth::delay_retry(const std::string& id, Job& job) const {
   const SteadyTime now = runtime_.now();
-  // Tasks that fail together count once.
+  // Tasks that fail within the same retry pause count as one failure.
   if (now < job.retry_at) return;
   job.retry_pause =
       std::clamp(job.retry_pause * 2, constants::initial_retry_pause, constants::max_retry_pause);
--- a/src/coordination/leader/machine_health.hpp
+++ b/src/coordination/leader/machine_health.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Judges machines by their heartbeats and their tasks' failures: which seem not to receive our
-/// responses, which are avoided for a while, and which are put in quarantine.
+/// Assesses machines by their heartbeats and task failures: which of them seem not to receive this
+/// leader's responses, which are avoided for some time, and which are quarantined.
 #pragma once
 
 #include <string>
@@ -19,26 +19,29 @@
                 const TaskStopper& stopper, const protocol::Settings& settings)
       : runtime_(runtime), cluster_state_(cluster_state), stopper_(stopper), settings_(settings) {}
 
-  /// Notes that the machine sends heartbeats but seems not to receive our responses: it gets no new
-  /// tasks until `evaluate_responsiveness` finds that it does. Does nothing if that is known.
+  /// Marks a machine that sends heartbeats but seems not to receive this leader's responses: it
+  /// gets no new tasks until `evaluate_responsiveness` removes the mark. Logs `why`. Does nothing
+  /// if the machine is already marked.
   void mark_unresponsive(cluster::Machine& machine, const std::string& why) const;
 
-  /// Takes a heartbeat as evidence that responses arrive: an incarnation that outlasts a lease must
-  /// have received some. Called for each heartbeat, after its token and incarnation were taken in.
+  /// Removes the mark if the machine's heartbeats prove that responses arrive: an incarnation that
+  /// outlasts a lease must have received some. Must be called for each heartbeat, after its token
+  /// and incarnation have been applied to `machine`.
   void evaluate_responsiveness(cluster::Machine& machine) const;
 
-  /// Counts incarnations that end without having reported any start that was sent. Called before
-  /// the placements of the incarnation are removed.
+  /// Counts the successive incarnations that end without having reported any task whose start was
+  /// sent; marks the machine as unresponsive at `max_unacknowledged_starts` of them. Must be called
+  /// before the placements of the incarnation are removed.
   void evaluate_incarnation(cluster::Machine& machine) const;
 
-  /// Blames the machine or the job for a task that exited without completing. A machine that fails
-  /// several jobs is faulty; a job that fails on several machines has a fault of its own, and is
-  /// retried after a growing pause. Does nothing if the cause is neither's fault.
+  /// Attributes a task's exit without completion to the machine or to the job. A machine on which
+  /// several jobs fail is faulty; a job that fails on several machines is faulty itself, and is
+  /// retried after an increasing pause. Does nothing if the cause is a fault of neither.
   /// `placement` must not have been removed yet.
   void record_failure(cluster::Machine& machine, const cluster::Placement& placement,
                       protocol::ExitCause cause) const;
 
-  /// A task completed on the machine: earlier failures do not count any more.
+  /// Clears the failures counted so far, because a task completed on the machine.
   static void reset_failures(cluster::Machine& machine);
 
  private:
--- a/src/coordination/leader/replica_rebalancer.hpp
+++ b/src/coordination/leader/replica_rebalancer.hpp
@@ -11,22 +11,23 @@
 
 namespace poppystile::coordination {
 
-/// Moves one replica at a time. Each is down from its stop until its start elsewhere, so the pause
-/// between two moves keeps that cost to a small share of all replicas' time (`moving_cost`).
+/// Moves one replica at a time. A replica is down from its stop until its start on another machine.
+/// The pause between two moves limits that downtime to a small share of all replicas' time
+/// (`moving_cost`).
 class ReplicaRebalancer {
  public:
   ReplicaRebalancer(const transport::Runtime& runtime, cluster::ClusterState& cluster_state,
                     const protocol::Settings& settings)
       : runtime_(runtime), cluster_state_(cluster_state), settings_(settings) {}
 
-  /// Stops one replica that runs on a draining machine, if the pause since the last move has
-  /// passed. Moves none where replicas are so few that the pause would exceed `max_moving_pause`.
+  /// Stops one replica that runs on a draining machine, if the pause after the last move has
+  /// passed. Stops none if replicas are so few that the pause would exceed `max_moving_pause`.
   void run_pass();
 
  private:
   struct Candidates {
-    std::size_t replicas = 0;            // of all services, on any machine
-    cluster::Placement* next = nullptr;  // a replica to be moved; null if there is none
+    std::size_t replicas = 0;            // Replicas of all services, on any machine.
+    cluster::Placement* next = nullptr;  // A replica to move; null if there is none.
   };
   Candidates find_candidates();
   Seconds pause_between_moves(std::size_t replicas) const;
--- a/src/coordination/leader/scheduling_loop.cpp
+++ b/src/coordination/leader/scheduling_loop.cpp
@@ -52,13 +52,14 @@
   const SteadyTime started_at = runtime_.now();
   plan_requested_ = false;
   const auto attempt = attempts_.next();
-  if (!attempt) return election_.resign("its attempt numbers are used up", Seconds{0});
+  if (!attempt) return election_.resign("attempt numbers of the term exhausted", Seconds{0});
   planning::Plan made = planning::make_plan(cluster_state_, planning_context(started_at));
   log_waiting_gangs(std::move(made.waiting_gangs));
   apply_placements(made.placements, *attempt, started_at);
   apply_preemptions(made.preemptions);
   update_least_waiting_cpus();
-  // The pause follows the plan's own cost, so that heartbeats get most of the processor.
+  // The pause is proportional to the plan's duration, so that heartbeats get most of the processor
+  // time.
   const SteadyTime ended_at = runtime_.now();
   next_plan_at_ = ended_at + std::max(constants::min_plan_interval,
                                       (ended_at - started_at) * constants::planning_pause_factor);
@@ -78,7 +79,7 @@
   return context;
 }
 
-// Logs each gang's reason once.
+// Logs why a gang waits when it begins to wait and whenever the reason changes.
 void SchedulingLoop::log_waiting_gangs(std::map<std::string, planning::GangWaitReason> waits) {
   for (const auto& [id, why] : waits) {
     const auto before = waiting_gangs_.find(id);
@@ -90,7 +91,8 @@
 
 void SchedulingLoop::apply_placements(const std::vector<planning::PlannedPlacement>& placements,
                                       std::uint64_t plan_attempt, SteadyTime now) {
-  std::map<std::string, std::uint64_t> gang_positions;  // log position of each gang's last entry
+  std::map<std::string, std::uint64_t>
+      gang_positions;  // Log position of a gang's last entry, by id.
   for (const auto& each : placements) {
     Machine& machine = cluster_state_.machines.at(each.machine);
     Job& job = cluster_state_.jobs.at(each.job);
@@ -102,7 +104,8 @@
     if (job.is_gang()) gang_positions[job.spec().id] = placed.log_position;
     spdlog::debug("task placed job={} index={} machine={}", placed.job, placed.index, machine.id);
   }
-  // No task of a gang starts before the journal records all of them: a successor finds it whole.
+  // No task of a gang is started before the journal records the placements of all its tasks, so
+  // that a successor restores the complete gang.
   for (const auto& [id, position] : gang_positions)
     cluster_state_.jobs.at(id).for_each_placement(
         [position = position](Placement& each) { each.log_position = position; });
--- a/src/coordination/leader/scheduling_loop.hpp
+++ b/src/coordination/leader/scheduling_loop.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Decides when to plan, and applies plans: placements to the cluster state and the journal,
-/// preemptions to the tasks that are to stop.
+/// Decides when to plan, and applies plans: adds placements to the cluster state and the journal,
+/// and stops preempted tasks.
 #pragma once
 
 #include <cstdint>
@@ -31,21 +31,21 @@
                  const TaskStopper& stopper, const protocol::Settings& settings,
                  const protocol::Properties& properties);
 
-  /// A term with this fencing token begins: attempt numbers are counted within it.
+  /// Begins a term with this fencing token, from which its attempt numbers are derived.
   void begin_term(std::uint64_t token) { attempts_ = cluster::AttemptNumbers(token); }
 
-  /// Something changed that may let the next plan place tasks.
+  /// Requests a plan, because of a change that may let it place tasks.
   void request_plan() { plan_requested_ = true; }
 
-  /// Looks at every job once: abandons gang attempts that were not completed in time, and requests
-  /// a plan if any task waits.
+  /// Checks every job once: abandons gang attempts whose lost tasks were not replaced in time, and
+  /// requests a plan if a task of a job that is not cancelled waits.
   void check_jobs();
 
-  /// Makes and applies a plan if one was requested and the pause after the last one has passed.
-  /// Returns whether it did. Resigns the leadership if the term's attempt numbers are spent.
+  /// Makes and applies a plan if one was requested and the pause after the last one has passed;
+  /// returns whether that was so. Resigns instead if the term's attempt numbers are exhausted.
   bool run_if_due();
 
-  /// Whether the next plan is requested already and may place a task on the machine.
+  /// Whether a plan has been requested that may place a task on the machine.
   bool may_place_on(const cluster::Machine& machine) const;
 
  private:
@@ -68,8 +68,9 @@
   cluster::AttemptNumbers attempts_;
   bool plan_requested_ = false;
   SteadyTime next_plan_at_;
-  std::map<std::string, planning::GangWaitReason> waiting_gangs_;  // of the newest plan, by job
-  // The smallest CPU demand of a waiting task, as of the newest plan.
+  std::map<std::string, planning::GangWaitReason>
+      waiting_gangs_;  // As of the newest plan, by job id.
+  // The smallest CPU demand of a waiting task as of the newest plan; the maximum if no task waits.
   std::int64_t least_waiting_cpus_ = std::numeric_limits<std::int64_t>::max();
 };
 
--- a/src/coordination/leader/task_reconciler.cpp
+++ b/src/coordination/leader/task_reconciler.cpp
@@ -113,7 +113,7 @@
   MachineHealth::reset_failures(machine);
   job.reset_failures();
   if (job.is_gang()) {
-    // The tasks of a gang complete together: the other machines need not report theirs.
+    // The tasks of a gang complete together, so the exits of the other tasks need not be reported.
     job.finish_all();
   } else {
     record_cached_image(machine, job);
@@ -127,12 +127,12 @@
 
 void TaskReconciler::expire_unacknowledged_starts(Machine& machine,
                                                   const protocol::Heartbeat& heartbeat) {
-  // Only a worker that has seen our token is sure to accept no start of an earlier leader any more.
+  // Only a worker that has seen this leader's token is certain to reject starts of former leaders.
   if (!machine.has_acknowledged_token) return;
   for (auto& each : machine.placements) {
     if (each.phase == PlacementPhase::exited || each.last_reported_sequence == heartbeat.sequence)
       continue;
-    // A start that answered an earlier heartbeat than this one cannot arrive any more.
+    // A start that was sent in the response to an earlier heartbeat cannot arrive any more.
     const bool start_has_settled = std::make_pair(each.start_incarnation, each.start_sequence) <
                                    std::make_pair(heartbeat.incarnation, heartbeat.sequence);
     if (!start_has_settled) continue;
@@ -162,7 +162,7 @@
   Job* job = cluster_state_.job(placement.job);
   if (job == nullptr) return;
   journal_.append(storage::PlacementEnded{placement.job, {IndexRange::single(placement.index)}});
-  if (job->is_task_finished(placement.index)) return;  // its gang has completed
+  if (job->is_task_finished(placement.index)) return;  // The gang has completed.
   job->requeue(placement.index);
   if (job->is_gang()) GangTracker::on_task_lost(*job, machine.id, runtime_.now());
   finalizer_.enqueue_if_final(placement.job, *job);
--- a/src/coordination/leader/task_reconciler.hpp
+++ b/src/coordination/leader/task_reconciler.hpp
@@ -1,8 +1,8 @@
 /// \file
-/// Squares the tasks that a heartbeat lists with the placements of its machine.
+/// Reconciles the placements of a machine with the tasks that its heartbeat lists.
 ///
 /// A placement is removed only on proof that the task is off its machine (docs/design.md,
-/// "Safety"). The journal records the end before it can record a new placement of the task.
+/// "Safety"). The journal records its end before it can record a new placement of the task.
 #pragma once
 
 #include <functional>
@@ -20,18 +20,18 @@
 
 class TaskReconciler {
  public:
-  /// `request_plan` is called when tasks may be placed that could not be before.
+  /// `request_plan` is called when the next plan may place tasks that earlier plans could not.
   TaskReconciler(const transport::Runtime& runtime, cluster::ClusterState& cluster_state,
                  JournalWriter& journal, JobFinalizer& finalizer, const MachineHealth& health,
                  const protocol::Settings& settings, std::function<void()> request_plan);
 
-  /// Applies the states of all tasks that the heartbeat lists, and removes placements that it
-  /// proves to be off the machine. The heartbeat must be the machine's newest, and its token and
-  /// incarnation already applied to `machine`.
+  /// Applies the states of all tasks that the heartbeat lists, and removes the placements of tasks
+  /// that it proves to be off the machine. The heartbeat must be newer than all processed before,
+  /// and its token and incarnation must have been applied to `machine`.
   void reconcile(cluster::Machine& machine, const protocol::Heartbeat& heartbeat);
 
-  /// Removes all placements of a machine on which nothing can run any more, and queues their tasks
-  /// again.
+  /// Removes all placements of a machine on which no task can run any more, and requeues the tasks.
+  /// Logs `why`.
   void evict_all(cluster::Machine& machine, const std::string& why);
 
  private:
@@ -39,7 +39,8 @@
                       const protocol::ReportedTask& reported);
   void change_phase(cluster::Machine& machine, cluster::Placement& placement, cluster::Job* job,
                     cluster::PlacementPhase phase);
-  /// Whether a task has run for longer than any of its job's that failed.
+  /// Whether a task runs for more than twice as long as the longest failed run of its job, with one
+  /// heartbeat interval added to that run.
   bool has_outlived_failures(const cluster::Placement& placement, const cluster::Job& job) const;
   void on_exited(cluster::Machine& machine, cluster::Placement& placement,
                  protocol::ExitCause cause);
@@ -47,9 +48,9 @@
   void expire_unacknowledged_starts(cluster::Machine& machine,
                                     const protocol::Heartbeat& heartbeat);
   void record_cached_image(cluster::Machine& machine, const cluster::Job& job);
-  /// Removes a placement that is proven to be off its machine, and queues its task again. Does
-  /// nothing if it has exited already. It stays in the machine's list until
-  /// `erase_removed_placements`, so that callers may iterate over the list.
+  /// Marks the placement of a task that is proven to be off its machine as exited, and requeues the
+  /// task unless it has finished. Does nothing if the placement is already marked. It stays in the
+  /// machine's list until `erase_removed_placements`, so that callers may iterate over the list.
   void remove_placement(cluster::Machine& machine, cluster::Placement& placement);
   static void erase_removed_placements(cluster::Machine& machine);
 
--- a/src/coordination/leader/task_stopper.hpp
+++ b/src/coordination/leader/task_stopper.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Marks tasks to be stopped. The stop command itself goes with the response to the next heartbeat
-/// of their machine (HeartbeatHandler).
+/// Marks tasks to be stopped. HeartbeatHandler adds the stop command to the response to the next
+/// heartbeat of their machine.
 #pragma once
 
 #include <string>
@@ -16,14 +16,14 @@
   TaskStopper(cluster::ClusterState& cluster_state, const GangTracker& gangs)
       : cluster_state_(cluster_state), gangs_(gangs) {}
 
-  /// Stops the task; if it belongs to a gang, all tasks of the gang together.
+  /// Stops the task, or all tasks of its gang together if it belongs to one.
   void stop_task(cluster::Placement& placement) const;
 
-  /// Stops all tasks of a job that was cancelled. Does nothing if the job is not known.
+  /// Stops all tasks of a cancelled job. Does nothing if the cluster state has no such job.
   void stop_job(const std::string& id) const;
 
   /// Seconds that a task of the job gets to save a checkpoint when it is stopped; 0 if it cannot
-  /// save one, if nothing is left to save, or if `job` is null.
+  /// save one, if the job is cancelled and needs none, or if `job` is null.
   Seconds grace_period(const cluster::Job* job) const;
 
  private:
