--- a/src/coordination/leader/failover_recovery.cpp
+++ b/src/coordination/leader/failover_recovery.cpp
@@ -81,38 +81,38 @@
   cluster_state_ = {};
   fleet_.begin_term(cluster_state_, replayed.rentals);
   restore_jobs(replayed);
-  for (const auto& [id, known] : replayed.machines) restore_machine(id, known, replayed, now);
+  for (const auto& [id, recorded] : replayed.machines) restore_machine(id, recorded, replayed, now);
   for (auto& [id, job] : cluster_state_.jobs)
     if (job.is_gang()) GangTracker::on_restored(job, now);
   on_recovered_();
 }
 
 void FailoverRecovery::restore_jobs(const ReplayedState& replayed) {
-  for (const auto& [id, known] : shared_state_.jobs()) {
-    Job& job = jobs_.add(id, known);
-    const auto found = replayed.jobs.find(id);
-    if (found == replayed.jobs.end()) continue;
-    const auto& finished = found->second.finished;
+  for (const auto& [id, recorded] : shared_state_.jobs()) {
+    Job& job = jobs_.add(id, recorded);
+    const auto replayed_job = replayed.jobs.find(id);
+    if (replayed_job == replayed.jobs.end()) continue;
+    const auto& finished = replayed_job->second.finished;
     for (std::uint32_t i = 0; i < std::min(finished.size(), job.phases.size()); ++i)
       if (finished[i]) job.finish(i);
     if (job.is_gang() && job.finished > 0) job.finish_all();
   }
 }
 
-void FailoverRecovery::restore_machine(const std::string& id, const ReplayedMachine& known,
+void FailoverRecovery::restore_machine(const std::string& id, const ReplayedMachine& recorded,
                                        const ReplayedState& replayed, SteadyTime now) {
   Machine restored;
   restored.id = id;
-  restored.type = known.type;
-  restored.zone = known.zone;
-  restored.spot = known.spot;
-  restored.incarnation = known.incarnation;
-  restored.rented_at = known.rented_at;
-  restored.images = known.images;
+  restored.type = recorded.type;
+  restored.zone = recorded.zone;
+  restored.spot = recorded.spot;
+  restored.incarnation = recorded.incarnation;
+  restored.rented_at = recorded.rented_at;
+  restored.images = recorded.images;
   restored.last_response_at = restored.last_heartbeat_at = now;
   fleet_.apply_machine_type(restored);
   Machine& machine = cluster_state_.machines.emplace(id, std::move(restored)).first->second;
-  for (const auto& [job_id, index] : known.tasks) {
+  for (const auto& [job_id, index] : recorded.tasks) {
     Job* job = cluster_state_.job(job_id);
     if (job == nullptr || index >= job->phases.size()) continue;  // The job has ended.
     if (job->is_task_finished(index)) continue;                   // The gang has completed.
--- a/src/coordination/leader/failover_recovery.hpp
+++ b/src/coordination/leader/failover_recovery.hpp
@@ -47,7 +47,7 @@
   void reset_journal();
   void rebuild_cluster_state(const storage::ReplayedState& replayed);
   void restore_jobs(const storage::ReplayedState& replayed);
-  void restore_machine(const std::string& id, const storage::ReplayedMachine& known,
+  void restore_machine(const std::string& id, const storage::ReplayedMachine& recorded,
                        const storage::ReplayedState& replayed, SteadyTime now);
 
   transport::Runtime& runtime_;
--- a/src/coordination/leader/gang_tracker.cpp
+++ b/src/coordination/leader/gang_tracker.cpp
@@ -38,8 +38,8 @@
 }
 
 void GangTracker::on_reported(Job& gang, TaskState state, SteadyTime now) {
-  const bool begun = state == TaskState::running || state == TaskState::saving;
-  if (!begun || gang.gang.phase != Phase::assembling) return;
+  const bool has_started = state == TaskState::running || state == TaskState::saving;
+  if (!has_started || gang.gang.phase != Phase::assembling) return;
   gang.gang.phase = Phase::running;
   spdlog::info("gang started id={} attempt={} after_s={:.1f}", gang.spec().id, gang.gang.number,
                (now - gang.gang.placed_at).count());
@@ -78,9 +78,9 @@
 }
 
 Seconds GangTracker::stop_grace(const Job& gang) const {
-  const Seconds for_others =
+  const Seconds peer_stop_delay =
       settings_.gang_times ? settings_.gang_times->peer_loss_detection : Seconds{0};
-  return gang.spec().checkpoint_save_time + for_others;
+  return gang.spec().checkpoint_save_time + peer_stop_delay;
 }
 
 void GangTracker::stop_placements(Job& gang) {
--- a/src/coordination/leader/heartbeat_handler.cpp
+++ b/src/coordination/leader/heartbeat_handler.cpp
@@ -108,13 +108,13 @@
     spdlog::info("machine preemption notice id={} in_s={}", machine.id, time_left.count());
     request_plan_();
   }
-  for (auto& each : machine.placements) {
-    const Job* job = cluster_state_.job(each.job);
+  for (auto& placed_task : machine.placements) {
+    const Job* job = cluster_state_.job(placed_task.job);
     const bool is_service = job != nullptr && job->spec().kind == protocol::JobKind::service;
     const Seconds needed =
         constants::preemption_stop_heartbeats * settings_.heartbeat_interval +
         (job != nullptr && job->is_gang() ? stopper_.grace_period(job) : Seconds{0});
-    if (is_service || time_left <= needed) stopper_.stop_task(each);
+    if (is_service || time_left <= needed) stopper_.stop_task(placed_task);
   }
 }
 
@@ -143,9 +143,9 @@
 // The worker has executed the forget command for a finished task that it no longer reports and
 // whose journal entry is durable, so the placement is not needed any more.
 void HeartbeatHandler::erase_forgotten_placements(Machine& machine, std::uint64_t sequence) const {
-  std::erase_if(machine.placements, [&](const Placement& each) {
-    return each.finished && each.last_reported_sequence != sequence &&
-           journal_.is_durable(each.log_position);
+  std::erase_if(machine.placements, [&](const Placement& placed_task) {
+    return placed_task.finished && placed_task.last_reported_sequence != sequence &&
+           journal_.is_durable(placed_task.log_position);
   });
 }
 
--- a/src/coordination/leader/heartbeat_responder.cpp
+++ b/src/coordination/leader/heartbeat_responder.cpp
@@ -31,9 +31,10 @@
 }
 
 bool HeartbeatResponder::has_start_in_flight(const Machine& machine) const {
-  return std::any_of(machine.placements.begin(), machine.placements.end(), [&](const auto& each) {
-    return may_start(each) && !journal_.is_durable(each.log_position);
-  });
+  return std::any_of(
+      machine.placements.begin(), machine.placements.end(), [&](const auto& placed_task) {
+        return may_start(placed_task) && !journal_.is_durable(placed_task.log_position);
+      });
 }
 
 bool HeartbeatResponder::may_start(const Placement& placement) const {
@@ -46,13 +47,13 @@
 
 void HeartbeatResponder::send(Machine& machine, PendingResponse response) {
   if (machine.has_acknowledged_token)
-    for (auto& each : machine.placements) {
+    for (auto& placed_task : machine.placements) {
       // The placement must be durable in the journal before its task is started.
-      if (!may_start(each) || !journal_.is_durable(each.log_position)) continue;
-      each.start_incarnation = response.incarnation;
-      each.start_sequence = response.sequence;
-      response.commands.push_back(
-          {Command::Op::start, each.job, each.index, each.attempt, Seconds{0}});
+      if (!may_start(placed_task) || !journal_.is_durable(placed_task.log_position)) continue;
+      placed_task.start_incarnation = response.incarnation;
+      placed_task.start_sequence = response.sequence;
+      response.commands.push_back({Command::Op::start, placed_task.job, placed_task.index,
+                                   placed_task.attempt, Seconds{0}});
     }
   machine.last_response_at = runtime_.now();
   machine.has_been_answered = true;
@@ -60,34 +61,34 @@
 }
 
 void HeartbeatResponder::send_pending(const std::string& id) {
-  const auto held = pending_.find(id);
-  if (held == pending_.end()) return;
-  PendingResponse response = std::move(held->second);
-  pending_.erase(held);
+  const auto pending = pending_.find(id);
+  if (pending == pending_.end()) return;
+  PendingResponse response = std::move(pending->second);
+  pending_.erase(pending);
   const auto machine = cluster_state_.machines.find(id);
   if (machine != cluster_state_.machines.end()) send(machine->second, std::move(response));
 }
 
 void HeartbeatResponder::send_due() {
   const SteadyTime now = runtime_.now();
-  std::vector<std::string> due;
-  for (const auto& [id, held] : pending_) {
+  std::vector<std::string> due_ids;
+  for (const auto& [id, pending] : pending_) {
     const auto machine = cluster_state_.machines.find(id);
     const bool must_wait = machine != cluster_state_.machines.end() &&
-                           (held.awaits_plan || has_start_in_flight(machine->second));
-    if (!must_wait || now >= held.hold_until) due.push_back(id);
+                           (pending.awaits_plan || has_start_in_flight(machine->second));
+    if (!must_wait || now >= pending.hold_until) due_ids.push_back(id);
   }
-  for (const auto& id : due) send_pending(id);
+  for (const auto& id : due_ids) send_pending(id);
 }
 
 void HeartbeatResponder::on_planned() {
-  for (auto& [id, held] : pending_) held.awaits_plan = false;
+  for (auto& [id, pending] : pending_) pending.awaits_plan = false;
   send_due();
 }
 
 void HeartbeatResponder::redirect_all() {
-  for (auto& [id, held] : std::exchange(pending_, {}))
-    held.respond({421, protocol::encode_redirect("")});
+  for (auto& [id, pending] : std::exchange(pending_, {}))
+    pending.respond({421, protocol::encode_redirect("")});
 }
 
 }  // namespace poppystile::coordination
--- a/src/coordination/leader/job_finalizer.cpp
+++ b/src/coordination/leader/job_finalizer.cpp
@@ -21,11 +21,11 @@
 void JobFinalizer::reset() {
   term_.end();
   write_in_flight_ = false;
-  due_.clear();
+  queue_.clear();
 }
 
 void JobFinalizer::enqueue_if_final(const std::string& id, const Job& job) {
-  if (job.record.cancelled ? job.placements.empty() : job.all_finished()) due_.insert(id);
+  if (job.record.cancelled ? job.placements.empty() : job.all_finished()) queue_.insert(id);
 }
 
 void JobFinalizer::pump() {
@@ -34,7 +34,7 @@
   next_write_at_ = now + constants::finalize_interval;
   sweep_if_due(now);
   protocol::Transaction transaction;
-  const std::vector<std::string> jobs = take_due(transaction);
+  const std::vector<std::string> jobs = fill_transaction(transaction);
   if (jobs.empty()) return;
   write_in_flight_ = true;
   key_value_client_.compare_and_swap(
@@ -49,12 +49,12 @@
   for (const auto& [id, job] : cluster_state_.jobs) enqueue_if_final(id, job);
 }
 
-std::vector<std::string> JobFinalizer::take_due(protocol::Transaction& transaction) {
+std::vector<std::string> JobFinalizer::fill_transaction(protocol::Transaction& transaction) {
   std::vector<std::string> jobs;
   transaction.conditions.push_back(election_.fence());
-  while (!due_.empty() &&
+  while (!queue_.empty() &&
          transaction.changes.size() + changes_per_job <= settings_.state_limits.max_changes()) {
-    const std::string id = due_.extract(due_.begin()).value();
+    const std::string id = queue_.extract(queue_.begin()).value();
     const Job* job = cluster_state_.job(id);
     if (job == nullptr) continue;
     transaction.conditions.push_back({storage::final_record_key(id), 0});
--- a/src/coordination/leader/job_finalizer.hpp
+++ b/src/coordination/leader/job_finalizer.hpp
@@ -42,7 +42,7 @@
   void enqueue_if_final(const std::string& id, const cluster::Job& job);
 
   /// Removes the job from the queue, because its job record was deleted.
-  void forget(const std::string& id) { due_.erase(id); }
+  void remove_from_queue(const std::string& id) { queue_.erase(id); }
 
   /// Writes the next final records, one transaction at a time. Must be called on each tick while
   /// this controller leads.
@@ -51,7 +51,7 @@
  private:
   void sweep_if_due(SteadyTime now);
   /// Moves jobs from the queue into the transaction, up to the limit on changes; returns their ids.
-  std::vector<std::string> take_due(protocol::Transaction& transaction);
+  std::vector<std::string> fill_transaction(protocol::Transaction& transaction);
   static protocol::JobState final_state(const cluster::Job& job);
   void on_write_result(const std::vector<std::string>& jobs, const TransactionResult& result);
   void retry_later(const std::vector<std::string>& jobs, const TransactionResult& result);
@@ -66,7 +66,7 @@
   bool write_in_flight_ = false;
   SteadyTime next_write_at_;
   SteadyTime last_sweep_at_;
-  std::set<std::string> due_;  // Ids of the queued jobs.
+  std::set<std::string> queue_;  // Ids of the queued jobs.
 };
 
 }  // namespace poppystile::coordination
--- a/src/coordination/leader/job_registry.cpp
+++ b/src/coordination/leader/job_registry.cpp
@@ -16,28 +16,28 @@
       finalizer_(finalizer),
       request_plan_(std::move(request_plan)) {}
 
-Job& JobRegistry::add(const std::string& id, const CachedJob& known) {
+Job& JobRegistry::add(const std::string& id, const CachedJob& cached) {
   Job job;
-  job.record = known.record;
-  job.version = known.version;
-  job.phases.assign(known.record.spec.tasks, TaskPhase::waiting);
+  job.record = cached.record;
+  job.version = cached.version;
+  job.phases.assign(cached.record.spec.tasks, TaskPhase::waiting);
   if (job.is_gang()) cluster_state_.record_recent_gang(job.record);
   return cluster_state_.jobs.insert_or_assign(id, std::move(job)).first->second;
 }
 
 void JobRegistry::on_changed(const std::string& id) {
-  const CachedJob* known = shared_state_.job(id);
-  if (known == nullptr) {
-    finalizer_.forget(id);
+  const CachedJob* cached = shared_state_.job(id);
+  if (cached == nullptr) {
+    finalizer_.remove_from_queue(id);
     cluster_state_.jobs.erase(id);
     return;
   }
   Job* job = cluster_state_.job(id);
   if (job == nullptr) {
-    job = &add(id, *known);
+    job = &add(id, *cached);
   } else {
-    job->record = known->record;
-    job->version = known->version;
+    job->record = cached->record;
+    job->version = cached->version;
   }
   apply_final_state(id, *job);
   request_plan_();
--- a/src/coordination/leader/job_registry.hpp
+++ b/src/coordination/leader/job_registry.hpp
@@ -23,7 +23,7 @@
               std::function<void()> request_plan);
 
   /// Adds a job with all its tasks waiting; replaces a job that has the same id.
-  cluster::Job& add(const std::string& id, const CachedJob& known);
+  cluster::Job& add(const std::string& id, const CachedJob& cached);
 
   /// Applies the present record of a job in the shared state. Removes the job if it has none.
   void on_changed(const std::string& id);
--- a/src/coordination/leader/lease_monitor.cpp
+++ b/src/coordination/leader/lease_monitor.cpp
@@ -34,10 +34,10 @@
 // `cancel_timeout` of that leader's last renewal of the leader lease
 // (Controller::may_respond_until). That renewal preceded this controller's election.
 void LeaseMonitor::evict_if_former_leases_expired(Machine& machine) {
-  const SteadyTime former_leases_expired =
+  const SteadyTime former_leases_expire_at =
       election_.elected_at() + with_clock_drift(settings_.cancel_timeout);
   if (machine.has_reported || machine.has_been_answered || machine.placements.empty()) return;
-  if (runtime_.now() <= former_leases_expired) return;
+  if (runtime_.now() <= former_leases_expire_at) return;
   reconciler_.evict_all(machine, "no heartbeat, and all leases from former leaders have expired");
 }
 
--- a/src/coordination/leader/machine_health.cpp
+++ b/src/coordination/leader/machine_health.cpp
@@ -19,7 +19,7 @@
 namespace {
 
 // The loss of another task of the gang is a fault of neither the machine nor the job.
-bool is_nobodys_fault(ExitCause cause) {
+bool is_blameless_cause(ExitCause cause) {
   return cause == ExitCause::stopped || cause == ExitCause::done || cause == ExitCause::peer_lost ||
          cause == ExitCause::gang_incomplete;
 }
@@ -63,10 +63,11 @@
 void MachineHealth::record_failure(Machine& machine, const Placement& placement,
                                    ExitCause cause) const {
   Job* job = cluster_state_.job(placement.job);
-  if (job == nullptr || is_nobodys_fault(cause)) return;
+  if (job == nullptr || is_blameless_cause(cause)) return;
   // Repeated failures of a job on the same machine give an operator no further information.
-  const bool is_news = cause != ExitCause::error || job->failed_on.insert(machine.id).second;
-  spdlog::log(is_news ? spdlog::level::info : spdlog::level::debug,
+  const bool is_new_information =
+      cause != ExitCause::error || job->failed_on.insert(machine.id).second;
+  spdlog::log(is_new_information ? spdlog::level::info : spdlog::level::debug,
               "task failed job={} index={} machine={} cause={}", placement.job, placement.index,
               machine.id, protocol::to_string(cause));
   if (placement.phase == PlacementPhase::running)
--- a/src/coordination/leader/scheduling_loop.cpp
+++ b/src/coordination/leader/scheduling_loop.cpp
@@ -53,10 +53,10 @@
   plan_requested_ = false;
   const auto attempt = attempts_.next();
   if (!attempt) return election_.resign("attempt numbers of the term exhausted", Seconds{0});
-  planning::Plan made = planning::make_plan(cluster_state_, planning_context(started_at));
-  log_waiting_gangs(std::move(made.waiting_gangs));
-  apply_placements(made.placements, *attempt, started_at);
-  apply_preemptions(made.preemptions);
+  planning::Plan new_plan = planning::make_plan(cluster_state_, planning_context(started_at));
+  log_waiting_gangs(std::move(new_plan.waiting_gangs));
+  apply_placements(new_plan.placements, *attempt, started_at);
+  apply_preemptions(new_plan.preemptions);
   update_least_waiting_cpus();
   // The pause is proportional to the plan's duration, so that heartbeats get most of the processor
   // time.
@@ -80,13 +80,14 @@
 }
 
 // Logs why a gang waits when it begins to wait and whenever the reason changes.
-void SchedulingLoop::log_waiting_gangs(std::map<std::string, planning::GangWaitReason> waits) {
-  for (const auto& [id, why] : waits) {
-    const auto before = waiting_gangs_.find(id);
-    if (before == waiting_gangs_.end() || before->second != why)
-      spdlog::info("gang waits id={} why=\"{}\"", id, planning::to_string(why));
+void SchedulingLoop::log_waiting_gangs(
+    std::map<std::string, planning::GangWaitReason> wait_reasons) {
+  for (const auto& [id, reason] : wait_reasons) {
+    const auto previous = waiting_gangs_.find(id);
+    if (previous == waiting_gangs_.end() || previous->second != reason)
+      spdlog::info("gang waits id={} why=\"{}\"", id, planning::to_string(reason));
   }
-  waiting_gangs_ = std::move(waits);
+  waiting_gangs_ = std::move(wait_reasons);
 }
 
 void SchedulingLoop::apply_placements(const std::vector<planning::PlannedPlacement>& placements,
--- a/src/coordination/leader/scheduling_loop.hpp
+++ b/src/coordination/leader/scheduling_loop.hpp
@@ -51,7 +51,7 @@
  private:
   void plan();
   planning::PlanningContext planning_context(SteadyTime now) const;
-  void log_waiting_gangs(std::map<std::string, planning::GangWaitReason> waits);
+  void log_waiting_gangs(std::map<std::string, planning::GangWaitReason> wait_reasons);
   void apply_placements(const std::vector<planning::PlannedPlacement>& placements,
                         std::uint64_t plan_attempt, SteadyTime now);
   void apply_preemptions(const std::vector<planning::PlannedPreemption>& preemptions);
--- a/src/coordination/leader/task_reconciler.cpp
+++ b/src/coordination/leader/task_reconciler.cpp
@@ -129,30 +129,32 @@
                                                   const protocol::Heartbeat& heartbeat) {
   // Only a worker that has seen this leader's token is certain to reject starts of former leaders.
   if (!machine.has_acknowledged_token) return;
-  for (auto& each : machine.placements) {
-    if (each.phase == PlacementPhase::exited || each.last_reported_sequence == heartbeat.sequence)
+  for (auto& placed_task : machine.placements) {
+    if (placed_task.phase == PlacementPhase::exited ||
+        placed_task.last_reported_sequence == heartbeat.sequence)
       continue;
     // A start that was sent in the response to an earlier heartbeat cannot arrive any more.
-    const bool start_has_settled = std::make_pair(each.start_incarnation, each.start_sequence) <
-                                   std::make_pair(heartbeat.incarnation, heartbeat.sequence);
-    if (!start_has_settled) continue;
-    const Job* job = cluster_state_.job(each.job);
-    const bool gang_runs =
+    const bool start_outcome_is_known =
+        std::make_pair(placed_task.start_incarnation, placed_task.start_sequence) <
+        std::make_pair(heartbeat.incarnation, heartbeat.sequence);
+    if (!start_outcome_is_known) continue;
+    const Job* job = cluster_state_.job(placed_task.job);
+    const bool is_gang_running =
         job != nullptr && job->is_gang() && job->gang.phase == GangPhase::running;
-    if (each.last_reported_sequence != 0 || each.stopping || gang_runs) {
-      remove_placement(machine, each);
-    } else if (each.start_incarnation != 0 &&
-               ++each.unacknowledged_starts >= constants::max_unacknowledged_starts) {
+    if (placed_task.last_reported_sequence != 0 || placed_task.stopping || is_gang_running) {
+      remove_placement(machine, placed_task);
+    } else if (placed_task.start_incarnation != 0 &&
+               ++placed_task.unacknowledged_starts >= constants::max_unacknowledged_starts) {
       health_.mark_unresponsive(machine, "starts unacknowledged");
-      remove_placement(machine, each);
+      remove_placement(machine, placed_task);
     }
   }
 }
 
 void TaskReconciler::record_cached_image(Machine& machine, const Job& job) {
-  const bool is_known = machine.holds(job.spec().image);
+  const bool was_cached = machine.holds(job.spec().image);
   machine.mark_image_used(job.spec().image, job.spec().image_gb);
-  if (!is_known) journal_.append(storage::ImageCached{machine.id, machine.images.back()});
+  if (!was_cached) journal_.append(storage::ImageCached{machine.id, machine.images.back()});
 }
 
 void TaskReconciler::remove_placement(Machine& machine, Placement& placement) {
@@ -169,8 +171,8 @@
 }
 
 void TaskReconciler::erase_removed_placements(Machine& machine) {
-  std::erase_if(machine.placements, [](const Placement& each) {
-    return each.phase == PlacementPhase::exited && !each.finished;
+  std::erase_if(machine.placements, [](const Placement& placed_task) {
+    return placed_task.phase == PlacementPhase::exited && !placed_task.finished;
   });
 }
 
@@ -178,7 +180,7 @@
   if (!machine.placements.empty())
     spdlog::info("machine evicted id={} tasks={} why=\"{}\"", machine.id, machine.placements.size(),
                  why);
-  for (auto& each : machine.placements) remove_placement(machine, each);
+  for (auto& placed_task : machine.placements) remove_placement(machine, placed_task);
   machine.placements.clear();
 }
 
--- a/tests/unit/failover_recovery_test.cpp
+++ b/tests/unit/failover_recovery_test.cpp
@@ -23,10 +23,10 @@
   protocol::Properties properties;
   FleetManager fleet{caller, caller, store, shared_state, election, journal, settings, properties};
   JobRegistry jobs{cluster_state, shared_state, stopper, finalizer, [this] { ++plan_requests; }};
-  int recovered = 0;
+  int recovery_count = 0;
   FailoverRecovery recovery{caller,  shared_state, election,
                             journal, fleet,        cluster_state,
-                            jobs,    settings,     [this] { ++recovered; }};
+                            jobs,    settings,     [this] { ++recovery_count; }};
 };
 
 TEST_F(FailoverRecoveryTest, RestoresTheJobsOfTheSharedState) {
@@ -35,7 +35,7 @@
   simulation::write_record(service, storage::job_key("req-1"), storage::encode(record));
   elect();
   advance(Seconds{2});
-  EXPECT_EQ(recovered, 1);
+  EXPECT_EQ(recovery_count, 1);
   EXPECT_FALSE(recovery.is_waiting_for_lease_expiry());
   ASSERT_NE(cluster_state.job("req-1"), nullptr);
   EXPECT_EQ(cluster_state.job("req-1")->waiting(), 3u);
@@ -45,10 +45,10 @@
   simulation::write_record(service, "journal/log/1", {{"v", 9}});
   elect();
   advance(Seconds{2});
-  EXPECT_EQ(recovered, 0);
+  EXPECT_EQ(recovery_count, 0);
   EXPECT_TRUE(recovery.is_waiting_for_lease_expiry());
   advance(with_clock_drift(settings.cancel_timeout) + Seconds{2});
-  EXPECT_EQ(recovered, 1);
+  EXPECT_EQ(recovery_count, 1);
   EXPECT_FALSE(recovery.is_waiting_for_lease_expiry());
   EXPECT_FALSE(service.has("journal/log/1"));
 }
@@ -61,7 +61,7 @@
   recovery.end_term();
   EXPECT_FALSE(recovery.is_waiting_for_lease_expiry());
   advance(with_clock_drift(settings.cancel_timeout) + Seconds{2});
-  EXPECT_EQ(recovered, 0);
+  EXPECT_EQ(recovery_count, 0);
   EXPECT_TRUE(service.has("journal/log/1"));
 }
 
--- a/tests/unit/gang_test.cpp
+++ b/tests/unit/gang_test.cpp
@@ -48,11 +48,11 @@
   }
   planning::Plan plan() { return planning::make_plan(cluster_state, context); }
   // Carries out what a plan has placed.
-  void apply(const planning::Plan& made, std::uint64_t attempt) {
-    for (const auto& each : made.placements) {
-      Job& job = cluster_state.jobs.at(each.job);
+  void apply(const planning::Plan& new_plan, std::uint64_t attempt) {
+    for (const auto& placement : new_plan.placements) {
+      Job& job = cluster_state.jobs.at(placement.job);
       if (job.is_gang()) GangTracker::on_placed(job, attempt, context.now);
-      cluster_state.place(cluster_state.machines.at(each.machine), job, attempt, context.now);
+      cluster_state.place(cluster_state.machines.at(placement.machine), job, attempt, context.now);
     }
   }
   std::size_t stopping() const {
@@ -60,7 +60,7 @@
     for (const auto& [id, machine] : cluster_state.machines)
       count += static_cast<std::size_t>(
           std::count_if(machine.placements.begin(), machine.placements.end(),
-                        [](const auto& each) { return each.stopping; }));
+                        [](const auto& placement) { return placement.stopping; }));
     return count;
   }
 
@@ -80,22 +80,22 @@
   apply(plan(), 77);
   ASSERT_EQ(gang.placements.size(), 4u);
   const std::uint32_t index = gang.placements.begin()->first;
-  Machine& left = *gang.placements.begin()->second;
-  for (auto& each : left.placements)
-    if (each.index == index) cluster_state.release_resources(left, each);
+  Machine& vacated_machine = *gang.placements.begin()->second;
+  for (auto& placement : vacated_machine.placements)
+    if (placement.index == index) cluster_state.release_resources(vacated_machine, placement);
   gang.requeue(index);
   context.now = steady_at(6);
-  GangTracker::on_task_lost(gang, left.id, steady_at(6));
+  GangTracker::on_task_lost(gang, vacated_machine.id, steady_at(6));
   EXPECT_TRUE(plan().placements.empty());  // the others have not been heard since
   for (auto& [id, machine] : cluster_state.machines) machine.last_heartbeat_at = steady_at(7);
-  const auto made = plan();
-  ASSERT_EQ(made.placements.size(), 1u);
-  EXPECT_NE(made.placements[0].machine, left.id);
-  apply(made, 78);
+  const auto new_plan = plan();
+  ASSERT_EQ(new_plan.placements.size(), 1u);
+  EXPECT_NE(new_plan.placements[0].machine, vacated_machine.id);
+  apply(new_plan, 78);
   EXPECT_EQ(gang.gang.number, 77u);
   // Once it has begun nothing is replaced any more, and the rest is stopped.
   GangTracker::on_reported(gang, protocol::TaskState::running, steady_at(7));
-  GangTracker::on_task_lost(gang, left.id, steady_at(8));
+  GangTracker::on_task_lost(gang, vacated_machine.id, steady_at(8));
   EXPECT_EQ(gang.gang.phase, GangAttempt::Phase::ending);
   EXPECT_EQ(stopping(), 4u);
   EXPECT_EQ(gang.schedulable_tasks(), 0u);
@@ -117,16 +117,16 @@
 TEST_F(GangTest, WhatAFormerLeaderNamedInPartIsGivenUp) {
   Machine& machine = add(cluster_state, "a1", 16);
   Job& whole = add_gang("req-1", 2);
-  Job& part = add_gang("req-2", 3);
+  Job& partial = add_gang("req-2", 3);
   Job& mixed = add_gang("req-3", 2);
   for (std::uint32_t i = 0; i < 2; ++i) cluster_state.restore(machine, whole, i, 7, steady_at(0));
-  for (std::uint32_t i = 0; i < 2; ++i) cluster_state.restore(machine, part, i, 8, steady_at(0));
+  for (std::uint32_t i = 0; i < 2; ++i) cluster_state.restore(machine, partial, i, 8, steady_at(0));
   for (std::uint32_t i = 0; i < 2; ++i)
     cluster_state.restore(machine, mixed, i, 9 + i, steady_at(0));
-  for (Job* job : {&whole, &part, &mixed}) GangTracker::on_restored(*job, steady_at(0));
+  for (Job* job : {&whole, &partial, &mixed}) GangTracker::on_restored(*job, steady_at(0));
   EXPECT_EQ(whole.gang.phase, GangAttempt::Phase::assembling);
   EXPECT_EQ(whole.gang.number, 7u);
-  EXPECT_EQ(part.gang.phase, GangAttempt::Phase::ending);
+  EXPECT_EQ(partial.gang.phase, GangAttempt::Phase::ending);
   EXPECT_EQ(mixed.gang.phase, GangAttempt::Phase::ending);
 }
 
--- a/tests/unit/heartbeat_responder_test.cpp
+++ b/tests/unit/heartbeat_responder_test.cpp
@@ -13,21 +13,21 @@
     responder.respond(machine, heartbeat(machine, ++sequence), {}, expects_placements,
                       [this](const transport::HttpResponse& response) {
                         ++responses;
-                        last = response;
+                        last_response = response;
                       });
   }
 
   HeartbeatResponder responder{caller, cluster_state, election, journal};
   std::uint64_t sequence = 0;
   int responses = 0;
-  transport::HttpResponse last;
+  transport::HttpResponse last_response;
 };
 
 TEST_F(HeartbeatResponderTest, AnswersAtOnceWhenNothingIsExpected) {
   Machine& machine = add_machine("a1");
   respond(machine, false);
   EXPECT_EQ(responses, 1);
-  EXPECT_EQ(last.status, 200);
+  EXPECT_EQ(last_response.status, 200);
   EXPECT_TRUE(machine.has_been_answered);
   EXPECT_FALSE(responder.has_pending());
 }
@@ -38,7 +38,7 @@
   const Placement& placement = place(machine, job);  // log position 0 is durable
   respond(machine, false);
   EXPECT_EQ(responses, 1);
-  EXPECT_NE(last.body.find("req-1"), std::string::npos);
+  EXPECT_NE(last_response.body.find("req-1"), std::string::npos);
   EXPECT_EQ(placement.start_incarnation, machine.incarnation);
   EXPECT_EQ(placement.start_sequence, sequence);
 }
@@ -53,7 +53,7 @@
   advance(constants::max_response_hold);
   responder.send_due();
   EXPECT_EQ(responses, 1);
-  EXPECT_EQ(last.body.find("req-1"), std::string::npos);
+  EXPECT_EQ(last_response.body.find("req-1"), std::string::npos);
   EXPECT_EQ(machine.placements[0].start_sequence, 0u);
 }
 
@@ -73,7 +73,7 @@
   place(machine, job);
   respond(machine, true);
   EXPECT_EQ(responses, 1);
-  EXPECT_EQ(last.body.find("req-1"), std::string::npos);
+  EXPECT_EQ(last_response.body.find("req-1"), std::string::npos);
 }
 
 TEST_F(HeartbeatResponderTest, NewerHeartbeatReplacesTheHeldResponse) {
@@ -89,7 +89,7 @@
   respond(machine, true);
   responder.redirect_all();
   EXPECT_EQ(responses, 1);
-  EXPECT_EQ(last.status, 421);
+  EXPECT_EQ(last_response.status, 421);
   EXPECT_FALSE(responder.has_pending());
 }
 
--- a/tests/unit/leader_parts_fixture.hpp
+++ b/tests/unit/leader_parts_fixture.hpp
@@ -53,11 +53,11 @@
 
   // A heartbeat of the machine's present incarnation.
   static protocol::Heartbeat heartbeat(const Machine& machine, std::uint64_t sequence) {
-    protocol::Heartbeat made;
-    made.machine = machine.id;
-    made.incarnation = machine.incarnation;
-    made.sequence = sequence;
-    return made;
+    protocol::Heartbeat message;
+    message.machine = machine.id;
+    message.incarnation = machine.incarnation;
+    message.sequence = sequence;
+    return message;
   }
   static protocol::ReportedTask reported(const Placement& placement, protocol::TaskState state,
                                          protocol::ExitCause cause = protocol::ExitCause::none) {
