--- a/src/coordination/leader/scheduling_loop.cpp
+++ b/src/coordination/leader/scheduling_loop.cpp
@@ -92,8 +92,8 @@
 
 void SchedulingLoop::apply_placements(const std::vector<planning::PlannedPlacement>& placements,
                                       std::uint64_t plan_attempt, SteadyTime now) {
-  std::map<std::string, std::uint64_t>
-      gang_positions;  // Log position of a gang's last entry, by id.
+  // Log position of each gang's last entry, by job id.
+  std::map<std::string, std::uint64_t> gang_positions;
   for (const auto& each : placements) {
     Machine& machine = cluster_state_.machines.at(each.machine);
     Job& job = cluster_state_.jobs.at(each.job);
--- a/src/coordination/leader/scheduling_loop.hpp
+++ b/src/coordination/leader/scheduling_loop.hpp
@@ -68,8 +68,8 @@
   cluster::AttemptNumbers attempts_;
   bool plan_requested_ = false;
   SteadyTime next_plan_at_;
-  std::map<std::string, planning::GangWaitReason>
-      waiting_gangs_;  // As of the newest plan, by job id.
+  // The gangs that wait as of the newest plan, by job id.
+  std::map<std::string, planning::GangWaitReason> waiting_gangs_;
   // The smallest CPU demand of a waiting task as of the newest plan; the maximum if no task waits.
   std::int64_t least_waiting_cpus_ = std::numeric_limits<std::int64_t>::max();
 };
--- a/tests/unit/failover_recovery_test.cpp
+++ b/tests/unit/failover_recovery_test.cpp
@@ -10,7 +10,7 @@
 
 class FailoverRecoveryTest : public LeaderPartsFixture {
  protected:
-  // Runs until this controller is elected and begins to recover.
+  // Advances time until this controller is elected and its recovery has begun.
   void elect() {
     election.on_elected([this] { recovery.begin(); });
     election.on_deposed([this] { recovery.end_term(); });
@@ -53,7 +53,7 @@
   EXPECT_FALSE(service.has("journal/log/1"));
 }
 
-TEST_F(FailoverRecoveryTest, EndOfTheTermEndsTheRecovery) {
+TEST_F(FailoverRecoveryTest, EndOfTheTermCancelsTheRecovery) {
   simulation::write_record(service, "journal/log/1", {{"v", 9}});
   elect();
   advance(Seconds{2});
--- a/tests/unit/gang_test.cpp
+++ b/tests/unit/gang_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Gangs: what one task's state means for the others.
+/// Gangs: how a change of one task affects the other tasks.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -22,7 +22,7 @@
 using protocol::JobKind;
 using protocol::Priority;
 
-TEST(AttemptNumbers, EndBeforeThoseOfTheNextToken) {
+TEST(AttemptNumbers, AreExhaustedBeforeThoseOfTheNextTokenBegin) {
   cluster::AttemptNumbers numbers(41, (1 << 24) - 3);
   EXPECT_EQ(numbers.next(), (std::uint64_t{42} << 24) - 2);
   EXPECT_EQ(numbers.next(), (std::uint64_t{42} << 24) - 1);
@@ -47,7 +47,7 @@
     return cluster_state.jobs.at(id);
   }
   planning::Plan plan() { return planning::make_plan(cluster_state, context); }
-  // Carries out what a plan has placed.
+  // Applies the placements of a plan to the cluster state.
   void apply(const planning::Plan& new_plan, std::uint64_t attempt) {
     for (const auto& placement : new_plan.placements) {
       Job& job = cluster_state.jobs.at(placement.job);
@@ -71,8 +71,9 @@
   protocol::Settings settings;
 };
 
-TEST_F(GangTest, ALostTaskIsReplacedUnderTheSameAttemptElsewhere) {
-  // The third has room for one task only, no more than the machine that is left: it is no better.
+TEST_F(GangTest, LostTaskIsReplacedOnAnotherMachineInTheSameAttempt) {
+  // The third machine has room for one task only, no more than the machine that loses its task will
+  // have, so the planner has no other reason to prefer it.
   add(cluster_state, "a1", 4).last_heartbeat_at = steady_at(5);
   add(cluster_state, "a2", 4).last_heartbeat_at = steady_at(5);
   add(cluster_state, "a3", 2).last_heartbeat_at = steady_at(5);
@@ -86,14 +87,14 @@
   gang.requeue(index);
   context.now = steady_at(6);
   GangTracker::on_task_lost(gang, vacated_machine.id, steady_at(6));
-  EXPECT_TRUE(plan().placements.empty());  // the others have not been heard since
+  EXPECT_TRUE(plan().placements.empty());  // No machine has sent a heartbeat since the loss.
   for (auto& [id, machine] : cluster_state.machines) machine.last_heartbeat_at = steady_at(7);
   const auto new_plan = plan();
   ASSERT_EQ(new_plan.placements.size(), 1u);
   EXPECT_NE(new_plan.placements[0].machine, vacated_machine.id);
   apply(new_plan, 78);
   EXPECT_EQ(gang.gang.number, 77u);
-  // Once it has begun nothing is replaced any more, and the rest is stopped.
+  // A lost task of a running attempt is not replaced, and the other tasks are stopped.
   GangTracker::on_reported(gang, protocol::TaskState::running, steady_at(7));
   GangTracker::on_task_lost(gang, vacated_machine.id, steady_at(8));
   EXPECT_EQ(gang.gang.phase, GangAttempt::Phase::ending);
@@ -101,7 +102,7 @@
   EXPECT_EQ(gang.schedulable_tasks(), 0u);
 }
 
-TEST_F(GangTest, AnAttemptThatIsNotCompletedInTimeIsGivenUp) {
+TEST_F(GangTest, AttemptThatIsNotCompletedInTimeIsAbandoned) {
   add(cluster_state, "a1", 8);
   Job& gang = add_gang("req-1", 4);
   apply(plan(), 77);
@@ -114,7 +115,7 @@
   EXPECT_EQ(gang.gang.phase, GangAttempt::Phase::ending);
 }
 
-TEST_F(GangTest, WhatAFormerLeaderNamedInPartIsGivenUp) {
+TEST_F(GangTest, IncompleteAttemptOfAFormerLeaderIsAbandoned) {
   Machine& machine = add(cluster_state, "a1", 16);
   Job& whole = add_gang("req-1", 2);
   Job& partial = add_gang("req-2", 3);
--- a/tests/unit/heartbeat_handler_test.cpp
+++ b/tests/unit/heartbeat_handler_test.cpp
@@ -18,7 +18,7 @@
       reconciler, health,        stopper,  settings, [this] { ++plan_requests; }};
 };
 
-TEST_F(HeartbeatHandlerTest, OnlyNewerHeartbeatsCount) {
+TEST_F(HeartbeatHandlerTest, HeartbeatsAreOrderedByIncarnationAndThenBySequence) {
   Machine& machine = add_machine("a1");
   machine.incarnation = 3;
   machine.sequence = 7;
@@ -32,10 +32,10 @@
   EXPECT_TRUE(HeartbeatHandler::is_newer(other, machine));
 }
 
-TEST_F(HeartbeatHandlerTest, MachineWithoutOurTokenIsNotAdopted) {
+TEST_F(HeartbeatHandlerTest, MachineWithoutTheLeadersTokenIsNotAdopted) {
   auto received = heartbeat(Machine{}, 1);
   received.machine = "n-1";
-  received.token = 3;  // not ours, which is 0
+  received.token = 3;  // The leader's token is 0.
   EXPECT_EQ(handler.find_or_adopt_machine(received), nullptr);
   EXPECT_TRUE(cluster_state.machines.empty());
   const Machine& known = add_machine("n-2");
@@ -43,7 +43,7 @@
   EXPECT_EQ(handler.find_or_adopt_machine(received), &known);
 }
 
-TEST_F(HeartbeatHandlerTest, NewIncarnationEndsAllTasksOfTheLast) {
+TEST_F(HeartbeatHandlerTest, NewIncarnationEvictsAllTasksOfThePreviousOne) {
   Machine& machine = add_machine("a1");
   Job& job = add_job("req-1", JobKind::array, 2);
   place(machine, job);
@@ -53,11 +53,11 @@
   EXPECT_EQ(machine.incarnation, received.incarnation);
   EXPECT_TRUE(machine.placements.empty());
   EXPECT_EQ(job.waiting(), 2u);
-  // It was answered just now, and its lease should not have expired.
+  // A response was sent just now, so the lease could expire only if that response did not arrive.
   EXPECT_TRUE(machine.is_unresponsive);
 }
 
-TEST_F(HeartbeatHandlerTest, UnknownTasksAreStoppedAndExitedOnesForgotten) {
+TEST_F(HeartbeatHandlerTest, UnknownTasksAreStoppedAndExitedTasksForgotten) {
   Machine& machine = add_machine("a1");
   auto received = heartbeat(machine, 1);
   received.tasks = {{"req-8", 0, 1, TaskState::running, ExitCause::none, false},
@@ -78,7 +78,7 @@
   EXPECT_EQ(machine.placements.size(), 1u);
 }
 
-TEST_F(HeartbeatHandlerTest, PreemptionNoticeStopsServicesAtOnceAndOthersInTime) {
+TEST_F(HeartbeatHandlerTest, PreemptionNoticeStopsServicesAtOnceAndOtherTasksInTime) {
   Machine& machine = add_machine("a1");
   place(machine, add_job("req-1", JobKind::service, 1));
   place(machine, add_job("req-2", JobKind::array, 1));
@@ -91,7 +91,7 @@
   EXPECT_TRUE(machine.placements[0].stopping);
   EXPECT_FALSE(machine.placements[1].stopping);
   received.sequence = 2;
-  received.preemption_notice = Seconds{5};  // two and a half heartbeats
+  received.preemption_notice = Seconds{5};  // Two and a half heartbeat intervals.
   EXPECT_EQ(handler.process(machine, received).size(), 2u);
   EXPECT_TRUE(machine.placements[1].stopping);
 }
--- a/tests/unit/heartbeat_responder_test.cpp
+++ b/tests/unit/heartbeat_responder_test.cpp
@@ -8,7 +8,7 @@
 
 class HeartbeatResponderTest : public LeaderPartsFixture {
  protected:
-  // Answers the machine's next heartbeat.
+  // Responds to the machine's next heartbeat, and counts the response when it is sent.
   void respond(Machine& machine, bool expects_placements) {
     responder.respond(machine, heartbeat(machine, ++sequence), {}, expects_placements,
                       [this](const transport::HttpResponse& response) {
@@ -23,7 +23,7 @@
   transport::HttpResponse last_response;
 };
 
-TEST_F(HeartbeatResponderTest, AnswersAtOnceWhenNothingIsExpected) {
+TEST_F(HeartbeatResponderTest, RespondsAtOnceWhenNoPlacementIsExpected) {
   Machine& machine = add_machine("a1");
   respond(machine, false);
   EXPECT_EQ(responses, 1);
@@ -35,7 +35,7 @@
 TEST_F(HeartbeatResponderTest, DurableStartGoesWithTheResponse) {
   Machine& machine = add_machine("a1");
   Job& job = add_job("req-1", JobKind::array, 1);
-  const Placement& placement = place(machine, job);  // log position 0 is durable
+  const Placement& placement = place(machine, job);  // Log position 0 is durable.
   respond(machine, false);
   EXPECT_EQ(responses, 1);
   EXPECT_NE(last_response.body.find("req-1"), std::string::npos);
@@ -43,7 +43,7 @@
   EXPECT_EQ(placement.start_sequence, sequence);
 }
 
-TEST_F(HeartbeatResponderTest, StartWaitsForTheJournalAndTheResponseOnlyForAWhile) {
+TEST_F(HeartbeatResponderTest, ResponseIsSentWithoutAStartThatIsNotDurableInTime) {
   Machine& machine = add_machine("a1");
   Job& job = add_job("req-1", JobKind::array, 1);
   place(machine, job).log_position = 1;
@@ -66,7 +66,7 @@
   EXPECT_EQ(responses, 1);
 }
 
-TEST_F(HeartbeatResponderTest, WorkerWithoutOurTokenGetsNoStart) {
+TEST_F(HeartbeatResponderTest, WorkerWithoutTheLeadersTokenGetsNoStart) {
   Machine& machine = add_machine("a1");
   machine.has_acknowledged_token = false;
   Job& job = add_job("req-1", JobKind::array, 1);
--- a/tests/unit/job_registry_test.cpp
+++ b/tests/unit/job_registry_test.cpp
@@ -18,7 +18,7 @@
   std::uint64_t version = 0;
 };
 
-TEST_F(JobRegistryTest, FollowsAJobFromItsRecordToItsRemoval) {
+TEST_F(JobRegistryTest, AppliesAJobsRecordsUntilTheRecordIsDeleted) {
   load_shared_state();
   version = shared_state.revision();
   write_job(false);
--- a/tests/unit/leader_parts_fixture.hpp
+++ b/tests/unit/leader_parts_fixture.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// What the leader's parts stand on, with a cluster state that is built by hand, for tests of one
-/// part at a time.
+/// Fixture for tests of single components of the leader: provides the components that they depend
+/// on, and a cluster state to which tests add machines, jobs and placements.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -45,13 +45,14 @@
     planning::add(cluster_state, planning::spec(id, kind, tasks, Priority::normal));
     return cluster_state.jobs.at(id);
   }
-  // Places the job's next task. The reference holds until the machine gets another placement.
+  // Places the job's next waiting task on the machine. The reference is valid until another task is
+  // placed on that machine.
   Placement& place(Machine& machine, Job& job, std::uint64_t attempt = 1) {
     return cluster_state.place(machine, job, attempt, caller.now());
   }
   void advance(Seconds span) { queue.run_until(queue.now() + span.count()); }
 
-  // A heartbeat of the machine's present incarnation.
+  // Returns a heartbeat of the machine's present incarnation that lists no tasks.
   static protocol::Heartbeat heartbeat(const Machine& machine, std::uint64_t sequence) {
     protocol::Heartbeat message;
     message.machine = machine.id;
--- a/tests/unit/lease_monitor_test.cpp
+++ b/tests/unit/lease_monitor_test.cpp
@@ -43,7 +43,7 @@
   EXPECT_EQ(plan_requests, requests);
 }
 
-TEST_F(LeaseMonitorTest, WithoutOurTokenAnExpiredLeaseProvesNothing) {
+TEST_F(LeaseMonitorTest, ExpiredLeaseOfAWorkerWithoutTheLeadersTokenEvictsNoTask) {
   Machine& machine = add_machine("a1");
   machine.has_acknowledged_token = false;
   machine.has_been_answered = true;
@@ -55,8 +55,8 @@
   EXPECT_EQ(job.waiting(), 0u);
 }
 
-TEST_F(LeaseMonitorTest, LeasesOfFormerLeadersAreWaitedOut) {
-  // With an election at time 0, which the clock has left long behind.
+TEST_F(LeaseMonitorTest, TasksAreEvictedOnceTheLeasesOfFormerLeadersHaveExpired) {
+  // The election was at time 0, more than the cancel timeout ago.
   Machine& machine = add_machine("a1");
   machine.has_reported = machine.has_acknowledged_token = false;
   Job& job = add_job("req-1", JobKind::array, 1);
@@ -66,7 +66,7 @@
   EXPECT_EQ(job.waiting(), 1u);
 }
 
-TEST_F(LeaseMonitorTest, MachineWhoseWorkerNeverRanHasNoLease) {
+TEST_F(LeaseMonitorTest, MachineThatNeverSentAHeartbeatHasNoLease) {
   Machine& machine = add_machine("a1");
   machine.incarnation = 0;
   advance(2 * settings.worker_lease);
--- a/tests/unit/machine_health_test.cpp
+++ b/tests/unit/machine_health_test.cpp
@@ -10,7 +10,7 @@
 
 class MachineHealthTest : public LeaderPartsFixture {};
 
-TEST_F(MachineHealthTest, JobThatFailsOnSeveralMachinesIsRetriedLaterAndBlamesNone) {
+TEST_F(MachineHealthTest, JobThatFailsOnASecondMachineIsRetriedLaterWithoutCountingAgainstIt) {
   Machine& first = add_machine("a1");
   Machine& second = add_machine("a2");
   Job& job = add_job("req-1", JobKind::array, 4);
@@ -20,7 +20,7 @@
   EXPECT_EQ(second.failures, 0);
   EXPECT_EQ(job.retry_pause, constants::initial_retry_pause);
   EXPECT_EQ(job.retry_at, caller.now() + constants::initial_retry_pause);
-  // Tasks that fail together count once.
+  // Tasks that fail within the same retry pause count as one failure.
   health.record_failure(second, place(second, job), ExitCause::error);
   EXPECT_EQ(job.retry_pause, constants::initial_retry_pause);
   advance(constants::initial_retry_pause);
@@ -40,7 +40,7 @@
   for (const auto& placement : machine.placements) EXPECT_TRUE(placement.stopping);
 }
 
-TEST_F(MachineHealthTest, StopsAndLossesOfGangPeersBlameNobody) {
+TEST_F(MachineHealthTest, StopsAndLossesOfGangPeersCountAgainstNeitherMachineNorJob) {
   Machine& machine = add_machine("a1");
   Job& job = add_job("req-1", JobKind::array, 1);
   const Placement& placement = place(machine, job);
@@ -62,7 +62,7 @@
   EXPECT_TRUE(machine.is_unresponsive);
 }
 
-TEST_F(MachineHealthTest, AReportedStartEndsTheCountOfIncarnations) {
+TEST_F(MachineHealthTest, ReportedStartResetsTheCountOfIncarnations) {
   Machine& machine = add_machine("a1");
   Job& job = add_job("req-1", JobKind::array, 1);
   Placement& placement = place(machine, job);
--- a/tests/unit/replica_rebalancer_test.cpp
+++ b/tests/unit/replica_rebalancer_test.cpp
@@ -8,7 +8,7 @@
 
 class ReplicaRebalancerTest : public LeaderPartsFixture {
  protected:
-  // Places running replicas of a service on the machine.
+  // Places `count` running replicas of a new service on the machine.
   void run_replicas(Machine& machine, std::uint32_t count) {
     Job& job = add_job("req-1", JobKind::service, count);
     for (std::uint32_t i = 0; i < count; ++i) place(machine, job).phase = PlacementPhase::running;
@@ -32,7 +32,7 @@
   EXPECT_EQ(stopping(machine), 1u);
   rebalancer.run_pass();
   EXPECT_EQ(stopping(machine), 1u);
-  // 2 heartbeats of 2 s each, over half a percent of 80 replicas' time.
+  // The pause: a move costs 2 heartbeat intervals of 2 s, which may be 0.5% of 80 replicas' time.
   advance(Seconds{10});
   rebalancer.run_pass();
   EXPECT_EQ(stopping(machine), 2u);
--- a/tests/unit/scheduling_loop_test.cpp
+++ b/tests/unit/scheduling_loop_test.cpp
@@ -18,7 +18,7 @@
                             gangs,  stopper,       settings, properties};
 };
 
-TEST_F(SchedulingLoopTest, PlansOnlyWhenAskedAndNotTooOften) {
+TEST_F(SchedulingLoopTest, PlansOnlyOnRequestAndAfterTheMinimumInterval) {
   EXPECT_FALSE(scheduling.run_if_due());
   scheduling.request_plan();
   EXPECT_TRUE(scheduling.run_if_due());
@@ -57,13 +57,13 @@
 TEST_F(SchedulingLoopTest, MachineIsExpectedToGetTasksOnlyWhileAPlanIsRequested) {
   const Machine& machine = add_machine("a1", 2);
   const Machine& small = add_machine("a2", 1);
-  add_job("req-1", JobKind::array, 20);  // of 2 CPUs each
+  add_job("req-1", JobKind::array, 20);  // Each task needs 2 CPUs.
   scheduling.request_plan();
   ASSERT_TRUE(scheduling.run_if_due());
   ASSERT_EQ(machine.placements.size(), 1u);
   EXPECT_FALSE(scheduling.may_place_on(add_machine("a4", 2)));
   scheduling.request_plan();
-  EXPECT_FALSE(scheduling.may_place_on(machine));  // full
+  EXPECT_FALSE(scheduling.may_place_on(machine));  // It has no free CPU.
   EXPECT_FALSE(scheduling.may_place_on(small));
   EXPECT_TRUE(scheduling.may_place_on(add_machine("a3", 2)));
 }
--- a/tests/unit/task_reconciler_test.cpp
+++ b/tests/unit/task_reconciler_test.cpp
@@ -11,7 +11,7 @@
 
 class TaskReconcilerTest : public LeaderPartsFixture {};
 
-TEST_F(TaskReconcilerTest, FollowsAReportedTaskAndItsImage) {
+TEST_F(TaskReconcilerTest, ReportedStateSetsThePhaseAndTheCachedImage) {
   Machine& machine = add_machine("a1");
   Job& job = add_job("req-1", JobKind::array, 1);
   const Placement& placement = place(machine, job);
@@ -44,7 +44,7 @@
   EXPECT_EQ(plan_requests, 1);
 }
 
-TEST_F(TaskReconcilerTest, FailedTaskIsQueuedAgain) {
+TEST_F(TaskReconcilerTest, FailedTaskIsRequeued) {
   Machine& machine = add_machine("a1");
   Job& job = add_job("req-1", JobKind::array, 1);
   const Placement& placement = place(machine, job);
@@ -56,7 +56,7 @@
   EXPECT_EQ(machine.failures, 1);
 }
 
-TEST_F(TaskReconcilerTest, TaskThatIsNotReportedAnyMoreIsQueuedAgain) {
+TEST_F(TaskReconcilerTest, TaskThatIsNoLongerReportedIsRequeued) {
   Machine& machine = add_machine("a1");
   Job& job = add_job("req-1", JobKind::array, 1);
   const Placement& placement = place(machine, job);
@@ -69,7 +69,7 @@
   EXPECT_TRUE(machine.placements.empty());
 }
 
-TEST_F(TaskReconcilerTest, WithoutOurTokenAMissingTaskProvesNothing) {
+TEST_F(TaskReconcilerTest, UnreportedTaskOfAWorkerWithoutTheLeadersTokenKeepsItsPlacement) {
   Machine& machine = add_machine("a1");
   machine.has_acknowledged_token = false;
   Job& job = add_job("req-1", JobKind::array, 1);
@@ -79,7 +79,7 @@
   EXPECT_EQ(machine.placements.size(), 1u);
 }
 
-TEST_F(TaskReconcilerTest, StartsThatAreNeverReportedAreGivenUp) {
+TEST_F(TaskReconcilerTest, PlacementIsRemovedAfterTooManyUnacknowledgedStarts) {
   Machine& machine = add_machine("a1");
   Job& job = add_job("req-1", JobKind::array, 1);
   Placement& placement = place(machine, job);
@@ -90,7 +90,7 @@
     reconciler.reconcile(machine, heartbeat(machine, sequence));
     EXPECT_EQ(job.waiting(), 0u);
   }
-  // The start that answers a heartbeat cannot be in that heartbeat.
+  // A heartbeat cannot report a start that is sent in the response to it.
   placement.start_sequence = sequence;
   reconciler.reconcile(machine, heartbeat(machine, sequence));
   EXPECT_EQ(job.waiting(), 0u);
@@ -111,7 +111,7 @@
   EXPECT_TRUE(gang.all_finished());
 }
 
-TEST_F(TaskReconcilerTest, EvictionFreesTheMachineAndQueuesItsTasks) {
+TEST_F(TaskReconcilerTest, EvictionFreesTheMachineAndRequeuesItsTasks) {
   Machine& machine = add_machine("a1");
   Job& job = add_job("req-1", JobKind::array, 3);
   for (int i = 0; i < 3; ++i) place(machine, job);
--- a/tests/unit/task_stopper_test.cpp
+++ b/tests/unit/task_stopper_test.cpp
@@ -40,13 +40,13 @@
   Job& job = add_job("req-1", JobKind::array, 2);
   place(machine, job);
   place(machine, job);
-  stopper.stop_job("req-2");  // not known
+  stopper.stop_job("req-2");  // No such job.
   EXPECT_FALSE(machine.placements[0].stopping);
   stopper.stop_job("req-1");
   for (const auto& placement : machine.placements) EXPECT_TRUE(placement.stopping);
 }
 
-TEST_F(TaskStopperTest, TasksThatCanSaveGetTimeForIt) {
+TEST_F(TaskStopperTest, GracePeriodIsTheSaveTimeOfTasksThatCanSave) {
   Job& job = add_saving_job(JobKind::array);
   EXPECT_EQ(stopper.grace_period(&job), Seconds{3});
   EXPECT_EQ(stopper.grace_period(nullptr), Seconds{0});
@@ -57,7 +57,7 @@
   EXPECT_EQ(stopper.grace_period(&job), Seconds{0});
 }
 
-TEST_F(TaskStopperTest, GangSavesOnlyOnceItRuns) {
+TEST_F(TaskStopperTest, GangHasNoGracePeriodBeforeItRuns) {
   settings.gang_times = protocol::GangTimes{Seconds{40}, Seconds{6}};
   Job& gang = add_saving_job(JobKind::gang);
   GangTracker::on_placed(gang, 1, caller.now());
