--- a/src/coordination/leader/lease_monitor.cpp
+++ b/src/coordination/leader/lease_monitor.cpp
@@ -38,7 +38,7 @@
       election_.elected_at() + with_clock_drift(settings_.cancel_timeout);
   if (machine.has_reported || machine.has_been_answered || machine.placements.empty()) return;
   if (runtime_.now() <= former_leases_expire_at) return;
-  reconciler_.evict_all(machine, "no heartbeat, and all leases from former leaders have expired");
+  reconciler_.evict_all(machine, "no heartbeat, and every former leader's leases have expired");
 }
 
 bool LeaseMonitor::is_overdue(const Machine& machine) const {
