--- a/src/planning/array_batch.hpp
+++ b/src/planning/array_batch.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Tasks of several arrays that LABL assigns together.
+/// A batch of tasks of several arrays, which LABL assigns to machines in one run.
 #pragma once
 
 #include <cstdint>
@@ -10,35 +10,43 @@
 
 namespace poppystile::planning {
 
-/// Collects tasks, in the order of their jobs, and places them.
+/// Collects waiting tasks job by job, and places them on the machines of a draft.
 class ArrayBatch {
  public:
+  /// Both arguments must outlive the batch.
   ArrayBatch(PlanDraft& draft, const JobOrder& order);
 
-  /// Whether the tasks in the batch could fill all free CPUs.
+  /// Whether the tasks of the batch need all CPUs that were free when the batch was made.
   bool is_full() const { return free_cpus_ <= 0; }
   bool is_empty() const { return jobs_.empty(); }
 
-  /// Adds as many of the job's waiting tasks as the team's quota and the free room allow, besides
-  /// `batched_tasks` that were in earlier batches of this plan. Returns how many were added.
+  /// Adds as many of the job's waiting tasks as the team's quota and the free resources allow; of a
+  /// starved array, no more than its first tasks. `batched_tasks` of the job were added to earlier
+  /// batches of this plan and are not added again. Returns the number of tasks added.
   std::uint32_t add(const cluster::Job& job, std::uint32_t batched_tasks);
 
-  /// Assigns the batch by LABL, and places what still fits. To be called once.
+  /// Assigns the tasks to machines by LABL, and places those that fit on their machine and into
+  /// their team's quota. May be called only once.
   void place();
 
  private:
+  /// The job as input of LABL, with as many tasks as fit into the free resources of all machines
+  /// that may run it.
   LablJob make_labl_job(const protocol::JobSpec& job);
+  /// The number of the job's tasks that may be added besides `batched_tasks` in earlier batches,
+  /// without regard to quotas and free resources.
   std::uint32_t task_limit(const cluster::Job& job, std::uint32_t batched_tasks) const;
-  /// The zone with the most room for a job whose tasks must all be in one; empty without any.
+  /// For a job whose tasks must all be in one zone: the zone that can run the most of them at once
+  /// beside its services; empty when no machine may run the job.
   std::string choose_zone(const protocol::JobSpec& job);
 
   PlanDraft& draft_;
   const JobOrder& order_;
-  TeamQuotas quotas_;  // the draft's, with the tasks of the batch
-  std::int64_t free_cpus_ = 0;
-  std::vector<LablServer> servers_;  // one for each slot of the draft
+  TeamQuotas quotas_;           // copy of the draft's quotas that includes the tasks of the batch
+  std::int64_t free_cpus_ = 0;  // thousandths of a CPU that are free and not needed by the batch
+  std::vector<LablServer> servers_;  // one element for each slot of the draft
   std::vector<LablJob> jobs_;
-  std::vector<const protocol::JobSpec*> specs_;  // of `jobs_`
+  std::vector<const protocol::JobSpec*> specs_;  // one element for each of `jobs_`
 };
 
 }  // namespace poppystile::planning
--- a/src/planning/array_placement.hpp
+++ b/src/planning/array_placement.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Places arrays, in four passes that the planner makes for each priority.
+/// Places the tasks of arrays, in four passes that the planner makes for each priority.
 #pragma once
 
 #include <cstdint>
@@ -13,38 +13,43 @@
 
 namespace poppystile::planning {
 
-/// Places the arrays of one plan. In each pass, `jobs` are taken in the order given.
+/// Places the arrays of one plan. Each pass processes `jobs` in the order given.
 class ArrayPlacement {
  public:
+  /// All arguments must outlive this object.
   ArrayPlacement(PlanDraft& draft, const JobOrder& order, Preemption& preemption)
       : draft_(draft), order_(order), preemption_(preemption) {}
 
-  /// First pass: batches that LABL assigns. Jobs enter a batch until they could fill the free
-  /// room; what a batch leaves free, because its tasks are better off waiting for a machine that
-  /// has their image, goes to the next batch.
+  /// First pass: up to `constants::max_array_batches` batches, each assigned by LABL. Jobs are
+  /// added to a batch until their tasks need all free CPUs. LABL may assign tasks to busy machines
+  /// that have their image; the next batch uses the resources that this leaves free.
   void place_batches(const std::vector<const cluster::Job*>& jobs);
 
-  /// Second pass: guaranteed work starts wherever there is room, also where it has to fetch, and
-  /// only then takes room back from teams above their guarantee. Left to wait for the image, it
-  /// would see the room that was freed for it go to others, and be freed again.
+  /// Second pass: tasks of guaranteed jobs are placed on any machine where they fit, even if the
+  /// image has to be fetched; only for tasks that fit nowhere is other work preempted, such as that
+  /// of teams above their guarantee. If these tasks waited for a machine with their image, other
+  /// jobs would take the resources freed for them, and more work would be preempted.
   void place_guaranteed(const std::vector<const cluster::Job*>& jobs);
 
-  /// Third pass: LABL may leave a task to wait for one machine with the image while another has
-  /// room. Such tasks start there now, since waiting gains nothing.
+  /// Third pass: LABL may assign a task to a busy machine with its image although the task fits on
+  /// another machine with the image. Such tasks are placed there, since waiting gains nothing.
   void place_where_image_is(const std::vector<const cluster::Job*>& jobs);
 
-  /// Last pass: one task of each array whose first task is overdue starts in any free room.
+  /// Last pass: one task of each array whose first task is overdue is placed on any machine where
+  /// it fits, unless this plan has placed a task of the array.
   void place_overdue_first_tasks(const std::vector<const cluster::Job*>& jobs);
 
  private:
-  using TaskCounts = std::map<std::string, std::uint32_t>;  // by job
+  using TaskCounts = std::map<std::string, std::uint32_t>;  // by job id
 
-  /// Places one batch, and adds its tasks to `batched`. Returns false when no task was left.
+  /// Places one batch, and adds the numbers of its tasks to `batched`, which has the numbers of
+  /// tasks in earlier batches. Returns false when no task could be added to the batch.
   bool place_batch(const std::vector<const cluster::Job*>& jobs,
                    std::map<const cluster::Job*, std::uint32_t>& batched);
-  /// Places one task on the machine with the least fetch time. False when it fits nowhere.
+  /// Places one task on the machine with the least fetch time among those where it fits. Returns
+  /// false when there is none.
   bool place_anywhere(const protocol::JobSpec& job);
-  /// Tasks of the job that neither run nor are in `placed`.
+  /// Number of the job's schedulable tasks that are not in `placed`, the placements of this plan.
   static std::uint32_t count_unplaced(const cluster::Job& job, const TaskCounts& placed);
 
   PlanDraft& draft_;
--- a/src/planning/gang_placement.cpp
+++ b/src/planning/gang_placement.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// Whether the machine is in `zone`; an empty name stands for every zone.
+/// Whether the machine is in `zone`; every machine is if `zone` is empty.
 bool is_in_zone(const MachineSlot& slot, const std::string& zone) {
   return zone.empty() || slot.machine->zone == zone;
 }
@@ -24,7 +24,7 @@
 
 void GangPlacement::place(const Job& job) {
   if (place_all_tasks(job)) return;
-  // A replacement cannot wait until other work has stopped: the attempt would run out of time.
+  // Replacements cannot wait until preempted tasks have stopped: the attempt would time out.
   if (!job.placements.empty()) return;
   const std::string& id = job.spec().id;
   if (draft_.quotas().remaining_tasks(job.spec()) < job.schedulable_tasks()) {
@@ -70,8 +70,8 @@
   std::vector<MachineSlot*> candidates;
   for (auto& slot : draft_.slots()) {
     if (!is_in_zone(slot, zone)) continue;
-    // A machine that lost a task of this attempt may get its start once more, and would then run
-    // it beside the replacement.
+    // The start command of a lost task may reach its former machine again, which would then run
+    // the task beside its replacement.
     if (job.gang.left.contains(slot.machine->id)) continue;
     if (draft_.fits(slot, spec)) candidates.push_back(&slot);
   }
--- a/src/planning/job_order.hpp
+++ b/src/planning/job_order.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// In which order waiting jobs are planned, and which of them are within their team's guarantee.
+/// The order in which waiting jobs are planned, and the jobs that are within their team's
+/// guarantee.
 #pragma once
 
 #include <cstdint>
@@ -10,43 +11,48 @@
 
 namespace poppystile::planning {
 
-/// Whether an array can still be finished about in time if it starts now.
+/// Whether an array that starts now can finish within `constants::overdue_target_factor` times its
+/// completion target.
 enum class DeadlineStatus : std::uint8_t { attainable, missed };
 
-/// Where an array stands among those of its priority: by status, then the earlier time first.
+/// Sort key of an array among those of equal priority and guarantee: attainable arrays first, then
+/// the earlier time.
 struct SchedulingKey {
   DeadlineStatus status = DeadlineStatus::attainable;
-  WallTime time;  // attainable: the latest start that is in time; missed: the submission
+  WallTime time;  // latest start that is in time if attainable; submission if missed
 };
 
-/// Ranks the jobs of one plan.
+/// Orders the jobs of one plan.
 class JobOrder {
  public:
-  /// Both arguments must outlive the order and not change meanwhile.
+  /// Both arguments must outlive this object, and not change during its lifetime.
   JobOrder(const cluster::ClusterState& cluster_state, const PlanningContext& context);
 
-  /// Computes the key of an array. Jobs without a key compare by age.
+  /// Computes the scheduling key of an array, which `before` uses. The lists that `before` sorts
+  /// have either only jobs with a key or only jobs without one.
   void add_array(const cluster::Job& job);
 
-  /// Strict weak order: priority, then guaranteed work, then scheduling keys, then age.
+  /// Strict weak order: the higher priority first, then guaranteed jobs, then the lesser scheduling
+  /// key, then `accepted_before`.
   bool before(const cluster::Job* a, const cluster::Job* b) const;
-  /// By time of acceptance; ids break ties, so that equal states give equal plans.
+  /// Compares by time of acceptance, then by id, so that equal cluster states give equal plans.
   static bool accepted_before(const cluster::Job* a, const cluster::Job* b);
 
-  /// Whether the job fits into its team's guarantee together with the team's earlier unfinished
-  /// jobs.
+  /// Whether all tasks of the job, together with those of the team's unfinished jobs that were
+  /// accepted before it, fit into the CPUs and GPUs that the team is guaranteed.
   bool is_guaranteed(const cluster::Job& job) const { return guaranteed_.contains(&job); }
-  /// Whether no task of the array has begun for `constants::starvation_wait`: its first tasks then
-  /// go before all other arrays.
+  /// Whether the array was accepted more than `constants::starvation_wait` ago and none of its
+  /// tasks is placed or finished: its first tasks are then planned before all other arrays.
   bool is_starved(const cluster::Job& job) const;
-  /// Whether no task of the array has begun for `constants::max_first_task_wait`: its first task
-  /// then takes any free room.
+  /// Whether the array was accepted more than `constants::max_first_task_wait` ago and none of its
+  /// tasks is placed or finished: its first task is then placed on any machine where it fits.
   bool is_first_task_overdue(const cluster::Job& job) const;
 
  private:
+  /// Fills `guaranteed_`.
   void find_guaranteed_jobs();
   SchedulingKey make_key(const cluster::Job& job) const;
-  /// Whether no task of the job has begun, and it was accepted longer than `wait` ago.
+  /// Whether the job was accepted more than `wait` ago and all its tasks are still waiting.
   bool has_not_begun_for(const cluster::Job& job, Seconds wait) const;
 
   const cluster::ClusterState& cluster_state_;
--- a/src/planning/labl.cpp
+++ b/src/planning/labl.cpp
@@ -14,7 +14,8 @@
 
 namespace {
 
-/// The unit by which the latency limit rises: the cost of an average local task.
+/// The unit in which the latency limit is raised: the mean cost of a local task, over the tasks
+/// that a server may run; 0 when there are none.
 double mean_task_cost(const std::vector<LablJob>& jobs) {
   double sum = 0;
   double tasks = 0;
@@ -27,10 +28,10 @@
   return tasks == 0 ? 0 : sum / tasks;
 }
 
-/// Whether a job's tasks find their image on a server.
+/// Whether a server has the image of a job's tasks.
 enum class Locality : bool { remote, local };
 
-/// The algorithm of figure 1. Jobs and servers are named by their positions in the input.
+/// The algorithm of figure 1. Jobs and servers are identified by their indices in the input.
 class LablAssigner {
  public:
   LablAssigner(std::vector<LablJob> jobs, const std::vector<LablServer>& servers,
@@ -78,8 +79,9 @@
     for (const auto& each : servers) plan_.load.push_back(each.load - least);
   }
 
-  /// Phase I: servers with less room than a remote task needs, the most loaded first, take the
-  /// local tasks that have the fewest servers to choose from.
+  /// Phase I: servers below the limit, but not by enough for a remote task, are filled with local
+  /// tasks, the most loaded server first. Each takes tasks of the job with the fewest local
+  /// servers.
   void run_phase_1() {
     std::vector<std::size_t> nearly_full;
     for (std::size_t server = 0; server < plan_.load.size(); ++server)
@@ -92,14 +94,15 @@
       while (const auto job = most_constrained_job(server)) assign(*job, server);
   }
 
-  /// The paper's CONSIDERREMOTEASSIGNMENTS: only near the lower bound are remote tasks worth it.
+  /// The paper's CONSIDERREMOTEASSIGNMENTS: whether the limit is still so near to the lower bound
+  /// that remote tasks are worth their cost.
   bool considers_remote_assignments() const {
     return plan_.latency_limit <=
            plan_.lower_bound + weights_.remote_offset * unit_cost_ + constants::labl_rounding_slack;
   }
 
-  /// Phase II: tasks none of whose local servers is below the limit go to the least loaded
-  /// servers that have room for a remote task.
+  /// Phase II: tasks of jobs without a local server below the limit are assigned to the least
+  /// loaded remote servers, as far as these stay within the limit.
   void run_phase_2() {
     for (std::size_t job = 0; job < jobs_.size(); ++job)
       while (jobs_[job].task_count > 0) {
@@ -111,7 +114,7 @@
       }
   }
 
-  /// Phase III: the other tasks go to their best server, as far as the limit allows.
+  /// Phase III: the other tasks are assigned to their best server, as far as the limit allows.
   void run_phase_3() {
     for (std::size_t job = 0; job < jobs_.size(); ++job)
       while (jobs_[job].task_count > 0) {
@@ -121,8 +124,8 @@
       }
   }
 
-  /// Raises the limit by a unit, or by as many as the next assignment takes if the round made
-  /// none. Returns false when no server may ever run what is left.
+  /// Raises the limit by one unit or, if the round has assigned nothing, by as many units as the
+  /// next assignment needs. Returns false when no server may run any of the unassigned tasks.
   bool raise_latency_limit(bool assigned_any) {
     plan_.latency_limit += unit_cost_;
     if (assigned_any) return true;
@@ -133,7 +136,8 @@
     return true;
   }
 
-  /// The least load that a server can have after its next assignment.
+  /// The least limit that allows another assignment; nothing when no server may run any of the
+  /// unassigned tasks.
   std::optional<double> least_sufficient_limit() {
     std::optional<double> least;
     for (std::size_t job = 0; job < jobs_.size(); ++job) {
@@ -172,7 +176,8 @@
     }
   }
 
-  /// Of the jobs with a local task that `server` can take, the one with the fewest local servers.
+  /// The job with the fewest local servers among those with a task that is local on `server` and
+  /// within the limit there; nothing when there is none.
   std::optional<std::size_t> most_constrained_job(std::size_t server) const {
     std::optional<std::size_t> best;
     for (std::size_t job = 0; job < jobs_.size(); ++job) {
@@ -184,12 +189,13 @@
     return best;
   }
 
-  /// The least loaded local server, or a remote one.
+  /// The least loaded local server, or the least loaded remote one if a task ends sooner there;
+  /// nothing when no server may run the job.
   std::optional<std::size_t> best_server(std::size_t job) {
     const auto local = least_loaded_server(job, Locality::local);
     const auto remote = least_loaded_server(job, Locality::remote);
-    // Not in the paper: fetch where a remote task ends before the least loaded local server is
-    // free.
+    // Not in the paper: a remote server is chosen if a task would end there before the least loaded
+    // local server could start it.
     const bool is_remote_sooner =
         remote && (!local || plan_.load[*remote] + task_cost(job, *remote) < plan_.load[*local]);
     return is_remote_sooner ? remote : local;
@@ -213,8 +219,8 @@
   LablWeights weights_;
   double unit_cost_;
   LablPlan plan_;
-  std::vector<std::ptrdiff_t> local_server_counts_;  // by job (the paper's |rho(t)|)
-  std::vector<ServerHeaps> server_heaps_;            // by job
+  std::vector<std::ptrdiff_t> local_server_counts_;  // one element for each job (|rho(t)|)
+  std::vector<ServerHeaps> server_heaps_;            // one element for each job
   std::uint64_t unassigned_tasks_ = 0;
 };
 
--- a/src/planning/labl.hpp
+++ b/src/planning/labl.hpp
@@ -11,25 +11,25 @@
 
 namespace poppystile::planning {
 
-/// A job as LABL sees it. Both vectors have one element for each server.
+/// Tasks of one job as input of LABL. Both vectors have one element for each server.
 struct LablJob {
   std::uint32_t task_count = 0;
-  std::vector<double> local_cost;       // of one local task; 0: the server may not run the job
-  std::vector<std::uint8_t> has_image;  // 1: a task is local there (the paper's data placement)
+  std::vector<double> local_cost;       // cost of one local task; 0: the server may not run the job
+  std::vector<std::uint8_t> has_image;  // 1: tasks are local on the server (data placement)
 };
 
 struct LablServer {
-  double load = 0;  // cost of the work that it has already, in the measure of `local_cost`
+  double load = 0;  // cost of the work that the server has already, in the unit of `local_cost`
 };
 
 struct LablWeights {
   double local = 1;                // cost of a local task in units (the paper's w_loc)
-  double remote = 3;               // cost of a task that has to fetch, in units (w_rem)
+  double remote = 3;               // cost of a task that has to fetch its image, in units (w_rem)
   double remote_offset = 1;        // units above the lower bound up to which phase II runs
-  bool fetch_caches_image = true;  // false: a fetch leaves no image behind, as in the paper
+  bool fetch_caches_image = true;  // false: fetched images are not kept, as in the paper
 };
 
-/// One task of `job` runs on `server`; both are positions in the input.
+/// One task of `job` is to run on `server`; both are indices into the input.
 struct LablAssignment {
   std::uint32_t job = 0;
   std::uint32_t server = 0;
@@ -38,12 +38,13 @@
 
 struct LablPlan {
   std::vector<LablAssignment> assignments;  // in the order in which they were made
-  std::vector<double> load;                 // by server, normalised, with the assignments
-  double lower_bound = 0;                   // the paper's l**, the first latency limit
-  double latency_limit = 0;                 // the last one
+  std::vector<double> load;  // by server, with the assignments, less the least initial load
+  double lower_bound = 0;    // the paper's l**, the first latency limit
+  double latency_limit = 0;  // latency limit of the last round
 };
 
-/// Assigns the tasks of `jobs` to `servers`. Tasks that no server may run are left out.
+/// Assigns the tasks of `jobs` to `servers`. Leaves out tasks that no server may run, and those
+/// that are not assigned within `constants::max_labl_rounds` rounds.
 LablPlan plan_labl(std::vector<LablJob> jobs, const std::vector<LablServer>& servers,
                    const LablWeights& weights);
 
--- a/src/planning/labl_lower_bound.cpp
+++ b/src/planning/labl_lower_bound.cpp
@@ -11,20 +11,21 @@
 
 namespace {
 
-/// What the search needs of a job, computed once.
+/// Values of one job that the search for the bound uses repeatedly.
 struct JobDemand {
   double task_count = 0;
   double local_cost = 0;
   double least_local_load = 0;  // load of the least loaded server that has the image
 };
 
-/// Tasks and cost that a latency limit demands of the servers, or that the servers have room for.
+/// An amount of work: the jobs' demand under a latency limit, or the servers' capacity within it.
 struct WorkAmount {
   double remote_tasks = 0;
   double cost = 0;
 };
 
-/// More than any limit where no server has the image.
+/// The load of the least loaded server that may run the job and has its image; more than any limit
+/// when there is none.
 double least_local_load(const LablJob& job, const std::vector<double>& load) {
   double least = std::numeric_limits<double>::max();
   for (std::size_t server = 0; server < load.size(); ++server)
@@ -32,7 +33,8 @@
   return least;
 }
 
-/// The tasks in T_rem, and the paper's a[l].
+/// The number of tasks that can only run remotely under `limit` (the paper's T_rem), and the least
+/// cost of all tasks (the paper's a[l]).
 WorkAmount demand_within(double limit, const std::vector<JobDemand>& jobs,
                          const LablWeights& weights) {
   WorkAmount demand;
@@ -45,7 +47,8 @@
   return demand;
 }
 
-/// The remote tasks that S_sup has room for, and the room of all servers.
+/// The number of remote tasks that the servers can take within `limit` (the paper's S_sup: servers
+/// that can take at least one), and the cost that all servers together can take within it.
 WorkAmount capacity_within(double limit, const std::vector<double>& load, double remote_cost) {
   WorkAmount capacity;
   for (double each : load) {
--- a/src/planning/machine_slot.cpp
+++ b/src/planning/machine_slot.cpp
@@ -30,7 +30,8 @@
   return before_run && !machine.holds(job.image);
 }
 
-/// Counts a placement that is on the machine already. `job` is null when its job is gone.
+/// Adds a placement that the machine has already to the slot's counts. `job` is null if the cluster
+/// state no longer has the placement's job.
 void count_placement(MachineSlot& slot, const Placement& placement, const Job* job,
                      ReplicaZones& replicas) {
   if (placement.stopping) slot.being_freed += placement.each;
@@ -42,7 +43,7 @@
   if (!slot.is_fetching(job->spec().image)) slot.fetched_images.push_back(job->spec().image);
 }
 
-/// The load that a placement of an array or a gang adds; 0 for a service.
+/// The load that a placement of an array or a gang adds; 0 for a service or an unknown job.
 Seconds remaining_load(const MachineSlot& slot, const Placement& placement, const Job* job,
                        SteadyTime now) {
   if (job == nullptr || job->spec().kind == JobKind::service) return Seconds{0};
@@ -52,7 +53,8 @@
   const Seconds expected = expected_run_time(spec);
   const Seconds elapsed =
       placement.phase == PlacementPhase::running ? now - placement.phase_started_at : Seconds{0};
-  // Estimates are often too low: a task that exceeds its own is assumed to need a quarter more.
+  // Estimates are often too low, so at least a quarter of the expected run time is assumed to
+  // remain.
   const Seconds remaining = std::max(expected - elapsed, expected / 4);
   return remaining / static_cast<double>(concurrent_tasks);
 }
@@ -95,7 +97,7 @@
   for (const auto& placement : machine.placements)
     if (placement.phase != PlacementPhase::exited)
       count_placement(slot, placement, find_job(cluster_state, placement.job), replicas);
-  // Only now is the capacity for arrays known, by which the load is measured.
+  // The load depends on `array_capacity`, which is complete only after all placements are counted.
   for (const auto& placement : machine.placements)
     if (placement.phase != PlacementPhase::exited)
       slot.load += remaining_load(slot, placement, find_job(cluster_state, placement.job), now);
--- a/src/planning/plan_draft.hpp
+++ b/src/planning/plan_draft.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// The plan under construction, shared by the parts of the planner: the machines and the quotas as
-/// the decisions so far leave them, and the decisions themselves.
+/// The plan under construction, shared by the parts of the planner: the decisions so far, and the
+/// machines, quotas and zone limits with these decisions applied.
 #pragma once
 
 #include <cstdint>
@@ -17,18 +17,19 @@
 
 namespace poppystile::planning {
 
-/// The state of one planning pass. Parts of the planner read it, and change it by their decisions.
+/// The state of one planning pass. The parts of the planner read it and record their decisions in
+/// it.
 class PlanDraft {
  public:
-  /// Makes a slot of every machine that takes tasks, and of those that boot. Both arguments must
-  /// outlive the draft and not change meanwhile.
+  /// Makes a slot for each schedulable machine, and for each booting one that is not overdue. Both
+  /// arguments must outlive the draft and not change during its lifetime.
   PlanDraft(const cluster::ClusterState& cluster_state, const PlanningContext& context);
 
-  /// Machines that take tasks, by id.
+  /// Schedulable machines, in the order of their ids.
   std::vector<MachineSlot>& slots() { return slots_; }
   const std::vector<MachineSlot>& slots() const { return slots_; }
-  /// Machines that boot and are not overdue: nothing can be placed on them yet, but a service may
-  /// be better off waiting for one.
+  /// Booting machines that are not overdue. No task can be placed on them yet, but a replica may
+  /// start sooner if it waits for one.
   std::vector<MachineSlot>& booting_slots() { return booting_slots_; }
 
   const cluster::ClusterState& cluster_state() const { return cluster_state_; }
@@ -38,38 +39,41 @@
   ZoneLimits& zone_limits() { return zone_limits_; }
   const ReplicaZones& replica_zones() const { return replica_zones_; }
 
-  /// Whether the job may run on the machine at all, in view of its other tasks' zones too.
+  /// Whether the job's constraints allow another of its tasks on the machine, in view of the zones
+  /// of its other tasks. Free resources are not considered.
   bool is_allowed(const MachineSlot& slot, const protocol::JobSpec& job);
-  /// Whether one more task of the job may be placed on the machine now. The team's quota is not
-  /// considered.
+  /// Whether one more task of the job is allowed on the machine and fits there, by free resources
+  /// and by `constants::max_tasks_per_machine`. The team's quota is not considered.
   bool fits(const MachineSlot& slot, const protocol::JobSpec& job);
 
-  /// Places one task of the job, for which `fits` must hold.
+  /// Places one task of the job; `fits` must hold. Counts it for the quota and the zone limits.
   void place(MachineSlot& slot, const protocol::JobSpec& job);
-  /// Sets room aside for one task that has to wait; nothing is placed.
+  /// Reserves resources for one task that has to wait, so that the rest of the plan does not use
+  /// them. Places nothing and leaves the quota as it is.
   void reserve(MachineSlot& slot, const protocol::JobSpec& job);
 
-  /// Decides that a single task is preempted. What it uses counts as being freed.
+  /// Records the preemption of a single task. Its resources count as being freed.
   void preempt(MachineSlot& slot, const cluster::Placement& placement);
-  /// Decides that every task of a gang is preempted.
+  /// Records the preemption of every task of a gang.
   void preempt_gang(const cluster::Job& gang);
   bool is_preempted(const cluster::Placement& placement) const {
     return preempted_.contains(&placement);
   }
 
+  /// Records why the gang with the id `job` is not placed by this plan.
   void record_waiting_gang(const std::string& job, GangWaitReason reason) {
     plan_.waiting_gangs[job] = reason;
   }
 
-  /// Placements decided so far, by job.
+  /// Number of placements decided so far, by job id.
   std::map<std::string, std::uint32_t> count_placements_by_job() const;
 
-  /// Hands over the decisions; the draft must not be used afterwards.
+  /// Moves the plan out of the draft, which must not be used afterwards.
   Plan take_plan() { return std::move(plan_); }
 
  private:
   void add_slots();
-  /// The slot of a machine, or null when it takes no tasks.
+  /// The slot of a machine, or null when the machine is not schedulable.
   MachineSlot* find_slot(const cluster::Machine& machine);
   void record_preemption(const cluster::Machine& machine, const cluster::Placement& placement);
 
--- a/src/planning/planner.cpp
+++ b/src/planning/planner.cpp
@@ -32,7 +32,7 @@
   }
 };
 
-/// Whether a gang may be placed as a whole, or lost tasks of it be replaced.
+/// Whether a new attempt of the gang may be placed, or lost tasks of its attempt be replaced.
 bool is_gang_schedulable(const Job& gang, const PlanningContext& context) {
   return gang.placements.empty() ||
          gang.may_replace_tasks(context.now, context.gang_task_replacement_window);
@@ -98,7 +98,8 @@
   array_placement.place_batches(schedulable.starved_arrays);
   GangPlacement gang_placement(draft, preemption);
   for (int priority = static_cast<int>(protocol::Priority::production); priority >= 0; --priority) {
-    // Gangs first: they need room for all tasks at once, which arrays would take task by task.
+    // Gangs before arrays: a gang needs resources for all its tasks at once, which arrays would use
+    // up one task at a time.
     for (const Job* gang : schedulable.gangs[priority]) gang_placement.place(*gang);
     const auto& arrays = schedulable.arrays[priority];
     array_placement.place_batches(arrays);
--- a/src/planning/planner.hpp
+++ b/src/planning/planner.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Decides from the leader's cluster state which tasks are placed where, and which are preempted.
-/// Pure: reads the cluster state and changes nothing.
+/// Decides from the leader's cluster state which tasks are placed on which machines, and which are
+/// preempted. Pure: the cluster state is only read, and a plan is returned.
 #pragma once
 
 #include <cstdint>
@@ -15,13 +15,13 @@
 
 namespace poppystile::planning {
 
-/// One waiting task of `job` is to be placed on `machine`; which of them is the caller's choice.
+/// One waiting task of `job` is to be placed on `machine` (ids). The caller chooses which one.
 struct PlannedPlacement {
   std::string machine;
   std::string job;
 };
 
-/// A task to be preempted.
+/// A task that is to be preempted on `machine`.
 struct PlannedPreemption {
   std::string machine;
   std::string job;
@@ -31,21 +31,21 @@
 
 /// Why a gang has to wait.
 enum class GangWaitReason : std::uint8_t {
-  team_limit,   // its tasks together exceed what is left of the team's limit
-  no_room,      // too little room in every zone, or on all machines, where it may run
-  making_room,  // other tasks are preempted for it, or about to be gone
+  team_limit,   // its tasks together exceed the remaining quota of its team
+  no_room,      // no zone has, or can free by preemption, enough for all its tasks
+  making_room,  // other tasks are stopping, and their resources are reserved for it
 };
-/// The reason in words, for the log.
+/// The reason as a text for the log.
 const char* to_string(GangWaitReason reason);
 
 /// The decisions of one planning pass, in the order in which they were made.
 struct Plan {
   std::vector<PlannedPlacement> placements;
   std::vector<PlannedPreemption> preemptions;
-  std::map<std::string, GangWaitReason> waiting_gangs;  // by job
+  std::map<std::string, GangWaitReason> waiting_gangs;  // by job id
 };
 
-/// What a plan depends on besides the cluster state. The pointers must not be null.
+/// Inputs of a plan besides the cluster state. The pointers must not be null.
 struct PlanningContext {
   SteadyTime now;
   const std::vector<protocol::TeamSettings>* teams = nullptr;
@@ -56,8 +56,8 @@
   Seconds gang_task_replacement_window{0};  // GangTimes::task_replacement_window
 };
 
-/// Plans all waiting jobs onto the machines that take tasks: services, then the first tasks of
-/// starved arrays, then by priority the gangs and the other arrays.
+/// Plans the schedulable tasks of all jobs onto the schedulable machines: services, then the first
+/// tasks of starved arrays, then, from the highest priority to the lowest, gangs and other arrays.
 Plan make_plan(const cluster::ClusterState& cluster_state, const PlanningContext& context);
 
 }  // namespace poppystile::planning
--- a/src/planning/preemption.cpp
+++ b/src/planning/preemption.cpp
@@ -87,7 +87,7 @@
 }
 
 void Preemption::apply(const GangShare& share, const JobSpec& gang) {
-  // A victim of a gang may have been preempted with another task of it.
+  // A victim that belongs to a gang may have been preempted already, with another task of its gang.
   for (const Placement* each : share.victims)
     if (!draft_.is_preempted(*each)) preempt(*share.slot, *each);
   for (std::int64_t i = 0; i < share.task_count; ++i) {
--- a/src/planning/preemption.hpp
+++ b/src/planning/preemption.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Makes room for a waiting job by stopping work that gives way to it.
+/// Frees resources for a waiting job by preempting work that yields to it.
 #pragma once
 
 #include <cstdint>
@@ -13,49 +13,56 @@
 
 namespace poppystile::planning {
 
-/// Decides the preemptions of one plan, and bounds how often it searches for them.
+/// Decides the preemptions of one plan, with at most `constants::max_preemption_searches` searches
+/// for victims.
 class Preemption {
  public:
+  /// Both arguments must outlive this object.
   Preemption(PlanDraft& draft, const JobOrder& order) : draft_(draft), victims_(draft, order) {}
 
-  /// Makes room for one task of `waiting`: reserves what other tasks are about to free, else
-  /// preempts the fewest tasks. Returns false when neither is enough, or when this plan has
-  /// searched `constants::max_preemption_searches` times.
+  /// Reserves resources for one task of `waiting` on one machine: those of stopping tasks or, where
+  /// these are not enough, those of the fewest tasks, which are preempted. The task itself is not
+  /// placed. Returns false when no machine can free enough, or when all searches of this plan are
+  /// used up.
   bool make_room(const cluster::Job& waiting);
 
-  /// Makes room for all waiting tasks of a gang in `zone`, or anywhere if that is empty, from what
-  /// is free or about to be and from tasks that give way. Returns false, without any preemption,
-  /// when that is not enough for the whole gang or this plan has searched often enough.
+  /// Reserves resources for all schedulable tasks of a gang in `zone`, or in any zone if `zone` is
+  /// empty: free ones, those of stopping tasks and those of tasks that are preempted. Returns
+  /// false, with nothing preempted or reserved, when these are not enough for the whole gang or all
+  /// searches of this plan are used up.
   bool make_room_for_gang(const cluster::Job& waiting, const std::string& zone);
 
  private:
-  /// Tasks of a gang that one machine has room for, once the victims are gone.
+  /// Tasks of a gang that fit on one machine once its stopping tasks and the victims have exited.
   struct GangShare {
     MachineSlot* slot = nullptr;
     std::int64_t task_count = 0;
     std::vector<const cluster::Placement*> victims;
   };
-  /// The least costly set of victims on one machine.
+  /// The victims on the machine where preemption for one task costs the least.
   struct BestVictims {
     MachineSlot* slot = nullptr;
     std::vector<const cluster::Placement*> placements;
     std::size_t cost = 0;
   };
 
-  /// Counts a search. False when this plan has searched often enough.
+  /// Counts a search for victims. Returns false when all searches of this plan are used up.
   bool may_search();
-  /// Reserves room for one task from what is being freed. False when no machine has enough.
+  /// Reserves resources of stopping tasks for one task of the job. Returns false when no machine
+  /// has enough.
   bool reserve_being_freed(const protocol::JobSpec& job);
+  /// Returns nothing when no machine can free enough for one task of `waiting`.
   std::optional<BestVictims> find_best_victims(const cluster::Job& waiting);
-  /// Shares for all waiting tasks of the gang, or nothing.
+  /// Shares that together hold all schedulable tasks of the gang; nothing when the machines in
+  /// `zone` cannot free enough.
   std::optional<std::vector<GangShare>> find_gang_shares(const cluster::Job& waiting,
                                                          const std::string& zone);
-  /// The share of one machine, for `missing` tasks at most.
+  /// The share of one machine, with at most `missing` tasks.
   GangShare make_gang_share(MachineSlot& slot, const cluster::Job& waiting,
                             std::int64_t missing) const;
-  /// Preempts the victims and keeps the room, free or being freed, for the gang.
+  /// Preempts the victims of the share, and reserves its resources, free or being freed.
   void apply(const GangShare& share, const protocol::JobSpec& gang);
-  /// Preempts the placement, or its whole gang.
+  /// Preempts the placement or, if it belongs to a gang, every task of the gang.
   void preempt(MachineSlot& slot, const cluster::Placement& placement);
 
   PlanDraft& draft_;
--- a/src/planning/replica_zones.hpp
+++ b/src/planning/replica_zones.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// How the replicas of each class of services are spread over the zones.
+/// The distribution of the replicas of each job class over the zones.
 #pragma once
 
 #include <cstdint>
@@ -8,17 +8,17 @@
 
 namespace poppystile::planning {
 
-/// Counts replicas by class and zone.
+/// Counts service replicas by job class and zone.
 class ReplicaZones {
  public:
   /// Counts one replica of the class in the zone.
   void add(const std::string& job_class, const std::string& zone);
-  /// Share of the class's replicas that are in the zone, from 0 to below 1: one more replica, the
-  /// next one, counts in the whole.
+  /// Share of the class's replicas that are in the zone, from 0 to below 1: the total includes the
+  /// next replica, which is in no zone yet.
   double share_in(const std::string& job_class, const std::string& zone) const;
 
  private:
-  std::map<std::string, std::map<std::string, std::uint32_t>> counts_;  // by class, by zone
+  std::map<std::string, std::map<std::string, std::uint32_t>> counts_;  // by class, then by zone
 };
 
 }  // namespace poppystile::planning
--- a/src/planning/saturating_subtract.hpp
+++ b/src/planning/saturating_subtract.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Subtraction of counts that stops at zero.
+/// Subtraction of unsigned counts without wrap-around.
 #pragma once
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 
 namespace poppystile::planning {
 
-/// Returns `total - used`, or 0 where `used` is more.
+/// Returns `total - used`, or 0 if `used` exceeds `total`.
 template <std::unsigned_integral Count>
 constexpr Count saturating_subtract(Count total, Count used) {
   return total - std::min(total, used);
--- a/src/planning/server_load_heap.hpp
+++ b/src/planning/server_load_heap.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// A min-heap of servers by load, repaired only where it is read.
+/// A min-heap of servers by load whose entries are updated lazily, when they are read.
 #pragma once
 
 #include <algorithm>
@@ -11,13 +11,13 @@
 
 /// Finds the least loaded server of a set while loads grow and servers leave the set.
 ///
-/// Loads must never shrink: an entry that is out of date then shows too small a load, so it comes
-/// to the front and is corrected there. Ties go to the server that comes first in the input.
+/// Loads must never decrease: an outdated entry then has too small a load, so that it reaches the
+/// front of the heap, where it is updated. Among equal loads, the server with the least index wins.
 class ServerLoadHeap {
  public:
   bool is_built() const { return is_built_; }
 
-  /// Collects the servers for which `is_member` holds, with their present loads.
+  /// Builds the heap from the servers for which `is_member` holds; `load` is that of each server.
   template <typename IsMember>
   void build(const std::vector<double>& load, const IsMember& is_member) {
     is_built_ = true;
@@ -26,12 +26,13 @@
     std::make_heap(entries_.begin(), entries_.end(), comes_later);
   }
 
-  /// Adds a server. Before `build`, which finds it anyway, this does nothing.
+  /// Adds a server to a heap that is built. Does nothing before `build`, which adds every member.
   void add(double load, std::size_t server) {
     if (is_built_) push(load, server);
   }
 
-  /// The least loaded server for which `is_member` still holds; nothing when there is none.
+  /// The least loaded server for which `is_member` holds; nothing when there is none. Removes
+  /// servers that it finds to be no members any more.
   template <typename IsMember>
   std::optional<std::size_t> least_loaded(const std::vector<double>& load,
                                           const IsMember& is_member) {
--- a/src/planning/service_placement.cpp
+++ b/src/planning/service_placement.cpp
@@ -55,12 +55,12 @@
   Seconds delay = constants::service_packing_heartbeats * context.heartbeat_interval * array_share;
   delay += constants::zone_spread_heartbeats * context.heartbeat_interval *
            draft_.replica_zones().share_in(job.job_class, machine.zone);
-  // A start is sent with the response to the machine's next heartbeat.
+  // A start command is sent in the response to the machine's next heartbeat.
   delay += slot.ready_in > Seconds{0}
                ? slot.ready_in + context.heartbeat_interval
                : std::clamp(machine.last_heartbeat_at + context.heartbeat_interval - context.now,
                             Seconds{0}, context.heartbeat_interval);
-  // A further image delays every replica there that waits for its own.
+  // A fetch of another image delays every replica on the machine that waits for its image.
   return delay + image_fetch_time(slot, job, slot.fetching_replicas);
 }
 
--- a/src/planning/service_placement.hpp
+++ b/src/planning/service_placement.hpp
@@ -1,6 +1,7 @@
 /// \file
-/// Places replicas of services: each on the machine where it is up soonest, which may be one that
-/// is still booting when those that are up would have to fetch many images.
+/// Places replicas of services, each on the machine with the least startup delay. A replica is left
+/// to wait for a booting machine if it would start later on the others, which may have many images
+/// to fetch.
 #pragma once
 
 #include <vector>
@@ -13,21 +14,26 @@
 /// Places the services of one plan.
 class ServicePlacement {
  public:
+  /// Both arguments must outlive this object.
   ServicePlacement(PlanDraft& draft, Preemption& preemption)
       : draft_(draft), preemption_(preemption) {}
 
-  /// Places the waiting replicas of one service, as far as its team's quota allows. Where no
-  /// machine has room for a replica, room is made by preemption.
+  /// Places the schedulable replicas of one service, as far as its team's quota allows. For a
+  /// replica that fits on no machine, resources are freed by preemption; it is placed by a later
+  /// plan.
   void place(const cluster::Job& job);
 
  private:
-  /// The slot with the least startup delay among those where a replica fits; null without any.
+  /// The slot with the least startup delay among those where a replica fits; null when there is
+  /// none.
   MachineSlot* find_best_slot(std::vector<MachineSlot>& slots, const protocol::JobSpec& job);
-  /// Reserves room on a booting machine if a replica is up sooner there than in `available`.
-  /// Returns whether it did; the replica is then left to wait.
+  /// Reserves resources for a replica on a booting machine if it would start sooner there than on
+  /// `available`, and the job has waited for no longer than `constants::max_boot_wait`. Returns
+  /// whether it did; the replica is then not placed by this plan.
   bool reserve_booting_machine(const cluster::Job& job, const MachineSlot& available);
-  /// Time until a replica would be up there, with two penalties: for machines without services,
-  /// so that these can be released, and for zones with many of the class's replicas.
+  /// Expected time until a replica would start on the machine, plus two penalties: one for machines
+  /// with few services, so that those without any can be released, and one for zones with many
+  /// replicas of the job's class.
   Seconds startup_delay(const protocol::JobSpec& job, const MachineSlot& slot) const;
 
   PlanDraft& draft_;
--- a/src/planning/team_quotas.cpp
+++ b/src/planning/team_quotas.cpp
@@ -12,7 +12,8 @@
 
 namespace {
 
-/// Lowers `count` to the number of tasks of `amount` that fit between `used` and `limit`.
+/// Lowers `count` to the number of tasks, of `amount` each, that fit between `used` and `limit`. A
+/// limit of 0 means no limit.
 void apply_limit(std::int64_t& count, std::int64_t limit, std::int64_t used, std::int64_t amount) {
   if (limit > 0 && amount > 0) count = std::min(count, (limit - used) / amount);
 }
--- a/src/planning/team_quotas.hpp
+++ b/src/planning/team_quotas.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What each team may use, and what it uses with the plan so far.
+/// The resource limits of the teams, and the teams' use with the plan so far.
 #pragma once
 
 #include <cstdint>
@@ -12,21 +12,22 @@
 
 namespace poppystile::planning {
 
-/// The teams' limits against their use. A copy can be used to try something out.
+/// Compares the teams' limits with their use. A copy can count tasks that may not be placed in the
+/// end, without effect on the original.
 class TeamQuotas {
  public:
   TeamQuotas(const std::vector<protocol::TeamSettings>& teams,
              const std::map<std::string, cluster::TeamUsage>& usage);
 
-  /// How many more tasks of the job its team's limit allows: at most `constants::max_tasks`, and 0
-  /// for a team that the settings do not name.
+  /// How many more tasks of the job its team's limits on CPUs and GPUs allow: at most
+  /// `constants::max_tasks`, and 0 for a team that the settings do not name.
   std::uint32_t remaining_tasks(const protocol::JobSpec& job) const;
-  /// Counts `count` tasks of the job as used by its team.
+  /// Adds `count` tasks of the job to its team's use, which may exceed the limits.
   void add(const protocol::JobSpec& job, std::uint32_t count);
 
  private:
-  std::map<std::string, protocol::Resources> limits_;  // 0: no limit
-  std::map<std::string, protocol::Resources> used_;
+  std::map<std::string, protocol::Resources> limits_;  // by team; 0: no limit
+  std::map<std::string, protocol::Resources> used_;    // by team
 };
 
 }  // namespace poppystile::planning
--- a/src/planning/victim_selector.cpp
+++ b/src/planning/victim_selector.cpp
@@ -20,7 +20,8 @@
 
 bool VictimSelector::yields_to(const Job& owner, const Job& waiting) const {
   if (owner.spec().priority < waiting.spec().priority) return true;
-  // A replica of higher priority is left alone: its pause costs its users more than the wait.
+  // A replica of higher priority is not preempted: its interruption costs its users more than the
+  // wait costs the waiting job.
   if (owner.spec().kind == JobKind::service && owner.spec().priority > waiting.spec().priority)
     return false;
   return owner.spec().team != waiting.spec().team && order_.is_guaranteed(waiting) &&
@@ -33,7 +34,7 @@
   if (owner == jobs.end() || placement.stopping || draft_.is_preempted(placement) ||
       placement.phase == PlacementPhase::exited)
     return false;
-  // A gang that cannot be told to stop in time would lose what it has not saved.
+  // If a gang's workers do not receive stop commands in time, it loses the state not saved yet.
   if (owner->second.is_gang() && !can_preempt_gang(owner->second)) return false;
   return yields_to(owner->second, waiting);
 }
--- a/src/planning/victim_selector.hpp
+++ b/src/planning/victim_selector.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Which placements may be preempted for a waiting job, and at what cost.
+/// The choice of placements that are preempted for a waiting job, and their cost.
 #pragma once
 
 #include <cstddef>
@@ -10,25 +10,28 @@
 
 namespace poppystile::planning {
 
-/// Chooses victims in view of the preemptions that the draft has already.
+/// Chooses victims among the placements that the draft has not preempted yet.
 class VictimSelector {
  public:
+  /// Both arguments must outlive this object.
   VictimSelector(const PlanDraft& draft, const JobOrder& order) : draft_(draft), order_(order) {}
 
-  /// Placements on the machine that may be preempted for `waiting`: the cheapest first, and of
-  /// those that cost the same the youngest, which lose the least.
+  /// Placements on the machine that may be preempted for `waiting`, by rising cost; among equal
+  /// costs, those whose phase started last come first, since they lose the least work.
   std::vector<const cluster::Placement*> candidates(const MachineSlot& slot,
                                                     const cluster::Job& waiting) const;
-  /// The first candidates that make room for one task of `waiting`; empty when all of them
-  /// together do not, and when there is room already.
+  /// The first candidates that together free enough for one task of `waiting`, beside the resources
+  /// that are free or being freed. Empty when all candidates are not enough, and when none is
+  /// needed.
   std::vector<const cluster::Placement*> victims_for_task(const MachineSlot& slot,
                                                           const cluster::Job& waiting) const;
-  /// Number of tasks that are lost with the placement: all tasks of a gang, else one.
+  /// Number of tasks that stop if the placement is preempted: all placed tasks of a gang, else one.
   std::size_t cost(const cluster::Placement& placement) const;
 
  private:
+  /// Whether the placement may be preempted for `waiting`.
   bool is_candidate(const cluster::Placement& placement, const cluster::Job& waiting) const;
-  /// Whether work of `owner` gives way to a task of `waiting`.
+  /// Whether priorities and guarantees allow tasks of `owner` to be preempted for `waiting`.
   bool yields_to(const cluster::Job& owner, const cluster::Job& waiting) const;
 
   const PlanDraft& draft_;
