--- a/src/planning/labl.cpp
+++ b/src/planning/labl.cpp
@@ -219,8 +219,8 @@
   LablWeights weights_;
   double unit_cost_;
   LablPlan plan_;
-  std::vector<std::ptrdiff_t> local_server_counts_;  // one element for each job (|rho(t)|)
-  std::vector<ServerHeaps> server_heaps_;            // one element for each job
+  std::vector<std::ptrdiff_t> local_server_counts_;  // for each job, the paper's |rho(t)|
+  std::vector<ServerHeaps> server_heaps_;            // for each job
   std::uint64_t unassigned_tasks_ = 0;
 };
 
--- a/src/planning/labl.hpp
+++ b/src/planning/labl.hpp
@@ -15,7 +15,7 @@
 struct LablJob {
   std::uint32_t task_count = 0;
   std::vector<double> local_cost;       // cost of one local task; 0: the server may not run the job
-  std::vector<std::uint8_t> has_image;  // 1: tasks are local on the server (data placement)
+  std::vector<std::uint8_t> has_image;  // 1: tasks are local there (the paper's data placement)
 };
 
 struct LablServer {
@@ -40,7 +40,7 @@
   std::vector<LablAssignment> assignments;  // in the order in which they were made
   std::vector<double> load;  // by server, with the assignments, less the least initial load
   double lower_bound = 0;    // the paper's l**, the first latency limit
-  double latency_limit = 0;  // latency limit of the last round
+  double latency_limit = 0;  // the latency limit at the end
 };
 
 /// Assigns the tasks of `jobs` to `servers`. Leaves out tasks that no server may run, and those
--- a/src/planning/planner.cpp
+++ b/src/planning/planner.cpp
@@ -75,11 +75,11 @@
 const char* to_string(GangWaitReason reason) {
   switch (reason) {
     case GangWaitReason::team_limit:
-      return "team limit";
+      return "the team's remaining quota is too small for all tasks";
     case GangWaitReason::no_room:
-      return "no room for all tasks";
+      return "not enough resources for all tasks at once";
     case GangWaitReason::making_room:
-      return "room is being made";
+      return "other tasks are stopping to free resources";
   }
   return "";
 }
