--- a/src/planning/array_batch.cpp
+++ b/src/planning/array_batch.cpp
@@ -39,10 +39,10 @@
 }
 
 std::uint32_t ArrayBatch::task_limit(const Job& job, std::uint32_t batched_tasks) const {
-  const std::uint32_t waiting = saturating_subtract(job.schedulable_tasks(), batched_tasks);
-  if (!order_.is_starved(job)) return waiting;
+  const std::uint32_t waiting_tasks = saturating_subtract(job.schedulable_tasks(), batched_tasks);
+  if (!order_.is_starved(job)) return waiting_tasks;
   const std::uint32_t first_tasks = job.spec().tasks / constants::starved_array_divisor + 1;
-  return std::min(waiting, saturating_subtract(first_tasks, batched_tasks));
+  return std::min(waiting_tasks, saturating_subtract(first_tasks, batched_tasks));
 }
 
 LablJob ArrayBatch::make_labl_job(const JobSpec& job) {
--- a/src/planning/array_placement.cpp
+++ b/src/planning/array_placement.cpp
@@ -12,17 +12,17 @@
 using protocol::JobSpec;
 
 void ArrayPlacement::place_batches(const std::vector<const Job*>& jobs) {
-  std::map<const Job*, std::uint32_t> batched;
+  std::map<const Job*, std::uint32_t> batched_by_job;
   for (int count = 0; count < constants::max_array_batches; ++count)
-    if (!place_batch(jobs, batched)) return;
+    if (!place_batch(jobs, batched_by_job)) return;
 }
 
 bool ArrayPlacement::place_batch(const std::vector<const Job*>& jobs,
-                                 std::map<const Job*, std::uint32_t>& batched) {
+                                 std::map<const Job*, std::uint32_t>& batched_by_job) {
   ArrayBatch batch(draft_, order_);
   for (const Job* job : jobs) {
     if (batch.is_full()) break;
-    std::uint32_t& batched_tasks = batched[job];
+    std::uint32_t& batched_tasks = batched_by_job[job];
     batched_tasks += batch.add(*job, batched_tasks);
   }
   if (batch.is_empty()) return false;
@@ -31,14 +31,14 @@
 }
 
 void ArrayPlacement::place_guaranteed(const std::vector<const Job*>& jobs) {
-  const TaskCounts placed = draft_.count_placements_by_job();
+  const TaskCounts placed_by_job = draft_.count_placements_by_job();
   for (const Job* job : jobs) {
     if (!order_.is_guaranteed(*job)) continue;
     const JobSpec& spec = job->spec();
-    std::uint32_t left =
-        std::min(count_unplaced(*job, placed), draft_.quotas().remaining_tasks(spec));
-    while (left > 0 && place_anywhere(spec)) --left;
-    while (left > 0 && preemption_.make_room(*job)) --left;
+    std::uint32_t remaining =
+        std::min(count_unplaced(*job, placed_by_job), draft_.quotas().remaining_tasks(spec));
+    while (remaining > 0 && place_anywhere(spec)) --remaining;
+    while (remaining > 0 && preemption_.make_room(*job)) --remaining;
   }
 }
 
@@ -46,22 +46,22 @@
   std::vector<MachineSlot*> slots_with_room;
   for (auto& slot : draft_.slots())
     if (slot.free.cpus > 0) slots_with_room.push_back(&slot);
-  const TaskCounts placed = draft_.count_placements_by_job();
+  const TaskCounts placed_by_job = draft_.count_placements_by_job();
   for (const Job* job : jobs) {
     const JobSpec& spec = job->spec();
-    std::uint32_t left = count_unplaced(*job, placed);
+    std::uint32_t remaining = count_unplaced(*job, placed_by_job);
     for (MachineSlot* slot : slots_with_room)
-      for (; left > 0 && slot->has_or_fetches(spec.image) && draft_.fits(*slot, spec) &&
+      for (; remaining > 0 && slot->has_or_fetches(spec.image) && draft_.fits(*slot, spec) &&
              draft_.quotas().remaining_tasks(spec) > 0;
-           --left)
+           --remaining)
         draft_.place(*slot, spec);
   }
 }
 
 void ArrayPlacement::place_overdue_first_tasks(const std::vector<const Job*>& jobs) {
-  const TaskCounts placed = draft_.count_placements_by_job();
+  const TaskCounts placed_by_job = draft_.count_placements_by_job();
   for (const Job* job : jobs)
-    if (order_.is_first_task_overdue(*job) && !placed.contains(job->spec().id) &&
+    if (order_.is_first_task_overdue(*job) && !placed_by_job.contains(job->spec().id) &&
         draft_.quotas().remaining_tasks(job->spec()) > 0)
       place_anywhere(job->spec());
 }
@@ -82,9 +82,9 @@
   return true;
 }
 
-std::uint32_t ArrayPlacement::count_unplaced(const Job& job, const TaskCounts& placed) {
-  const auto found = placed.find(job.spec().id);
-  const std::uint32_t placed_tasks = found == placed.end() ? 0 : found->second;
+std::uint32_t ArrayPlacement::count_unplaced(const Job& job, const TaskCounts& placed_by_job) {
+  const auto found = placed_by_job.find(job.spec().id);
+  const std::uint32_t placed_tasks = found == placed_by_job.end() ? 0 : found->second;
   return saturating_subtract(job.schedulable_tasks(), placed_tasks);
 }
 
--- a/src/planning/array_placement.hpp
+++ b/src/planning/array_placement.hpp
@@ -42,15 +42,16 @@
  private:
   using TaskCounts = std::map<std::string, std::uint32_t>;  // by job id
 
-  /// Places one batch, and adds the numbers of its tasks to `batched`, which has the numbers of
-  /// tasks in earlier batches. Returns false when no task could be added to the batch.
+  /// Places one batch, and adds the numbers of its tasks to `batched_by_job`, which has the numbers
+  /// of tasks in earlier batches. Returns false when no task could be added to the batch.
   bool place_batch(const std::vector<const cluster::Job*>& jobs,
-                   std::map<const cluster::Job*, std::uint32_t>& batched);
+                   std::map<const cluster::Job*, std::uint32_t>& batched_by_job);
   /// Places one task on the machine with the least fetch time among those where it fits. Returns
   /// false when there is none.
   bool place_anywhere(const protocol::JobSpec& job);
-  /// Number of the job's schedulable tasks that are not in `placed`, the placements of this plan.
-  static std::uint32_t count_unplaced(const cluster::Job& job, const TaskCounts& placed);
+  /// Number of the job's schedulable tasks that are not in `placed_by_job`, the placements of this
+  /// plan.
+  static std::uint32_t count_unplaced(const cluster::Job& job, const TaskCounts& placed_by_job);
 
   PlanDraft& draft_;
   const JobOrder& order_;
--- a/src/planning/eligibility.cpp
+++ b/src/planning/eligibility.cpp
@@ -27,8 +27,8 @@
 }
 
 bool can_preempt_gang(const Job& gang) {
-  return std::all_of(gang.placements.begin(), gang.placements.end(), [](const auto& each) {
-    const Machine& machine = *each.second;
+  return std::all_of(gang.placements.begin(), gang.placements.end(), [](const auto& entry) {
+    const Machine& machine = *entry.second;
     return machine.has_reported && machine.has_acknowledged_token && !machine.is_overdue &&
            !machine.is_unresponsive;
   });
--- a/src/planning/gang_placement.cpp
+++ b/src/planning/gang_placement.cpp
@@ -89,28 +89,28 @@
                                                                         const std::string& zone) {
   const JobSpec& spec = job.spec();
   Assignment assignment;
-  std::uint32_t missing = job.schedulable_tasks();
+  std::uint32_t unassigned_tasks = job.schedulable_tasks();
   std::map<std::string, std::uint32_t> remaining_by_zone;
   for (MachineSlot* slot : find_candidates(job, zone)) {
     const std::string& slot_zone = slot->machine->zone;
     const std::uint32_t zone_limit = draft_.zone_limits().remaining_tasks(spec, slot_zone);
     auto& remaining = remaining_by_zone.try_emplace(slot_zone, zone_limit).first->second;
-    const std::uint32_t count = std::min({slot->task_capacity(spec), missing, remaining});
+    const std::uint32_t count = std::min({slot->task_capacity(spec), unassigned_tasks, remaining});
     if (count == 0) continue;
     assignment.shares.push_back({slot, count});
     assignment.fetch_time = std::max(assignment.fetch_time, image_fetch_time(*slot, spec));
     remaining -= count;
-    missing -= count;
-    if (missing == 0) return assignment;
+    unassigned_tasks -= count;
+    if (unassigned_tasks == 0) return assignment;
   }
   return std::nullopt;
 }
 
 bool GangPlacement::may_reserve(const Job& job) const {
   const Seconds waited = draft_.context().wall_now - job.record.accepted_at;
-  const Seconds in_period{
+  const Seconds time_in_period{
       std::fmod(std::max(0.0, waited.count()), constants::gang_reservation_period.count())};
-  return in_period < constants::gang_reservation_time;
+  return time_in_period < constants::gang_reservation_time;
 }
 
 std::optional<std::string> GangPlacement::find_zone_to_reserve(const Job& job) const {
@@ -138,10 +138,11 @@
   const auto zone = find_zone_to_reserve(job);
   if (!zone) return;
   const JobSpec& spec = job.spec();
-  std::uint32_t missing = job.schedulable_tasks();
-  draft_.quotas().add(spec, missing);
+  std::uint32_t unassigned_tasks = job.schedulable_tasks();
+  draft_.quotas().add(spec, unassigned_tasks);
   for (MachineSlot* slot : find_candidates(job, *zone))
-    for (; missing > 0 && draft_.fits(*slot, spec); --missing) draft_.reserve(*slot, spec);
+    for (; unassigned_tasks > 0 && draft_.fits(*slot, spec); --unassigned_tasks)
+      draft_.reserve(*slot, spec);
 }
 
 }  // namespace poppystile::planning
--- a/src/planning/labl.cpp
+++ b/src/planning/labl.cpp
@@ -129,10 +129,11 @@
   bool raise_latency_limit(bool assigned_any) {
     plan_.latency_limit += unit_cost_;
     if (assigned_any) return true;
-    const std::optional<double> needed = least_sufficient_limit();
-    if (!needed) return false;
-    if (*needed > plan_.latency_limit)
-      plan_.latency_limit += std::ceil((*needed - plan_.latency_limit) / unit_cost_) * unit_cost_;
+    const std::optional<double> sufficient_limit = least_sufficient_limit();
+    if (!sufficient_limit) return false;
+    if (*sufficient_limit > plan_.latency_limit)
+      plan_.latency_limit +=
+          std::ceil((*sufficient_limit - plan_.latency_limit) / unit_cost_) * unit_cost_;
     return true;
   }
 
@@ -202,11 +203,11 @@
   }
 
   std::optional<std::size_t> least_loaded_server(std::size_t job, Locality locality) {
-    const bool wants_image = locality == Locality::local;
-    ServerLoadHeap& heap = wants_image ? server_heaps_[job].local : server_heaps_[job].remote;
+    const bool is_local = locality == Locality::local;
+    ServerLoadHeap& heap = is_local ? server_heaps_[job].local : server_heaps_[job].remote;
     const LablJob& each = jobs_[job];
-    const auto is_member = [&each, wants_image](std::size_t server) {
-      return (each.has_image[server] != 0) == wants_image;
+    const auto is_member = [&each, is_local](std::size_t server) {
+      return (each.has_image[server] != 0) == is_local;
     };
     if (!heap.is_built())
       heap.build(plan_.load, [&](std::size_t server) {
--- a/src/planning/machine_slot.cpp
+++ b/src/planning/machine_slot.cpp
@@ -39,8 +39,8 @@
   if (job == nullptr || is_replica) slot.array_capacity -= placement.each;
   if (is_replica) replicas.add(job->spec().job_class, slot.machine->zone);
   if (job == nullptr || !awaits_image(placement, *slot.machine, job->spec())) return;
-  if (is_replica) ++slot.fetching_replicas;
-  if (!slot.is_fetching(job->spec().image)) slot.fetched_images.push_back(job->spec().image);
+  if (is_replica) ++slot.replicas_awaiting_image;
+  if (!slot.is_fetching(job->spec().image)) slot.pending_images.push_back(job->spec().image);
 }
 
 /// The load that a placement of an array or a gang adds; 0 for a service or an unknown job.
@@ -62,7 +62,7 @@
 }  // namespace
 
 bool MachineSlot::is_fetching(const std::string& image) const {
-  return std::find(fetched_images.begin(), fetched_images.end(), image) != fetched_images.end();
+  return std::find(pending_images.begin(), pending_images.end(), image) != pending_images.end();
 }
 
 Resources MachineSlot::free_after_stops() const {
@@ -82,9 +82,9 @@
   ++task_count;
   if (job.kind == JobKind::service) {
     array_capacity -= job.each;
-    if (!machine->holds(job.image)) ++fetching_replicas;
+    if (!machine->holds(job.image)) ++replicas_awaiting_image;
   }
-  if (!has_or_fetches(job.image)) fetched_images.push_back(job.image);
+  if (!has_or_fetches(job.image)) pending_images.push_back(job.image);
 }
 
 MachineSlot make_slot(const Machine& machine, const ClusterState& cluster_state, SteadyTime now,
@@ -121,8 +121,8 @@
   if (slot.machine->holds(job.image)) return Seconds{0};
   const Seconds single_fetch{job.image_gb / slot.machine->fetch_gb_per_s};
   const std::size_t fetches = slot.is_fetching(job.image)
-                                  ? slot.fetched_images.size()
-                                  : slot.fetched_images.size() + 1 + competing_fetches;
+                                  ? slot.pending_images.size()
+                                  : slot.pending_images.size() + 1 + competing_fetches;
   return single_fetch * static_cast<double>(fetches);
 }
 
--- a/src/planning/machine_slot.hpp
+++ b/src/planning/machine_slot.hpp
@@ -25,16 +25,16 @@
   /// Number of tasks on the machine, including those that the plan adds.
   std::size_t task_count = 0;
   /// Images that the machine is fetching, or will fetch for tasks assigned to it.
-  std::vector<std::string> fetched_images;
+  std::vector<std::string> pending_images;
   /// Number of service replicas that wait for their image.
-  std::uint32_t fetching_replicas = 0;
+  std::uint32_t replicas_awaiting_image = 0;
   /// Expected remaining run time of the tasks of arrays and gangs, each divided by the number of
   /// such tasks that fit into `array_capacity`; see docs/design.md.
   Seconds load{0};
   /// Expected time until a booting machine is up; 0 for a machine that is up.
   Seconds ready_in{0};
 
-  /// Whether `fetched_images` has the image.
+  /// Whether `pending_images` has the image.
   bool is_fetching(const std::string& image) const;
   /// Whether a further task needs no fetch of its own: the image is cached, or one fetch of it
   /// serves every task that waits for it.
@@ -60,7 +60,7 @@
 
 /// Time until the machine has the job's image in its cache. All fetches share the machine's rate.
 /// For an image that is not being fetched yet, `competing_fetches` is the number of fetches to
-/// assume besides its own and those of `fetched_images`.
+/// assume besides its own and those of `pending_images`.
 Seconds image_fetch_time(const MachineSlot& slot, const protocol::JobSpec& job,
                          std::size_t competing_fetches = 0);
 
--- a/src/planning/preemption.cpp
+++ b/src/planning/preemption.cpp
@@ -11,26 +11,26 @@
 using protocol::JobSpec;
 using protocol::Resources;
 
-bool Preemption::make_room(const Job& waiting) {
-  const JobSpec& job = waiting.spec();
+bool Preemption::make_room(const Job& waiting_job) {
+  const JobSpec& job = waiting_job.spec();
   if (reserve_being_freed(job)) return true;
-  if (!may_search()) return false;
-  const auto best = find_best_victims(waiting);
+  if (!count_search()) return false;
+  const auto best = find_best_victims(waiting_job);
   if (!best) return false;
   for (const Placement* each : best->placements) preempt(*best->slot, *each);
   best->slot->being_freed -= job.each;
   return true;
 }
 
-bool Preemption::make_room_for_gang(const Job& waiting, const std::string& zone) {
-  if (!may_search()) return false;
-  const auto shares = find_gang_shares(waiting, zone);
+bool Preemption::make_room_for_gang(const Job& waiting_job, const std::string& zone) {
+  if (!count_search()) return false;
+  const auto shares = find_gang_shares(waiting_job, zone);
   if (!shares) return false;
-  for (const GangShare& share : *shares) apply(share, waiting.spec());
+  for (const GangShare& share : *shares) apply(share, waiting_job.spec());
   return true;
 }
 
-bool Preemption::may_search() { return ++searches_ <= constants::max_preemption_searches; }
+bool Preemption::count_search() { return ++searches_ <= constants::max_preemption_searches; }
 
 bool Preemption::reserve_being_freed(const JobSpec& job) {
   for (auto& slot : draft_.slots()) {
@@ -42,13 +42,13 @@
   return false;
 }
 
-std::optional<Preemption::BestVictims> Preemption::find_best_victims(const Job& waiting) {
+std::optional<Preemption::BestVictims> Preemption::find_best_victims(const Job& waiting_job) {
   std::optional<BestVictims> best;
   for (auto& slot : draft_.slots()) {
-    if (!draft_.is_allowed(slot, waiting.spec())) continue;
-    auto placements = victims_.victims_for_task(slot, waiting);
+    if (!draft_.is_allowed(slot, waiting_job.spec())) continue;
+    auto placements = victim_selector_.victims_for_task(slot, waiting_job);
     std::size_t cost = 0;
-    for (const Placement* each : placements) cost += victims_.cost(*each);
+    for (const Placement* each : placements) cost += victim_selector_.cost(*each);
     if (placements.empty() || (best && cost >= best->cost)) continue;
     best = BestVictims{&slot, std::move(placements), cost};
     if (cost == 1) break;
@@ -57,32 +57,32 @@
 }
 
 std::optional<std::vector<Preemption::GangShare>> Preemption::find_gang_shares(
-    const Job& waiting, const std::string& zone) {
-  std::int64_t missing = waiting.schedulable_tasks();
+    const Job& waiting_job, const std::string& zone) {
+  std::int64_t unassigned_tasks = waiting_job.schedulable_tasks();
   std::vector<GangShare> shares;
   for (auto& slot : draft_.slots()) {
-    if (missing <= 0) break;
+    if (unassigned_tasks <= 0) break;
     if (!zone.empty() && slot.machine->zone != zone) continue;
-    if (!draft_.is_allowed(slot, waiting.spec())) continue;
-    GangShare share = make_gang_share(slot, waiting, missing);
-    missing -= share.task_count;
+    if (!draft_.is_allowed(slot, waiting_job.spec())) continue;
+    GangShare share = make_gang_share(slot, waiting_job, unassigned_tasks);
+    unassigned_tasks -= share.task_count;
     if (share.task_count > 0) shares.push_back(std::move(share));
   }
-  if (missing > 0) return std::nullopt;
+  if (unassigned_tasks > 0) return std::nullopt;
   return shares;
 }
 
-Preemption::GangShare Preemption::make_gang_share(MachineSlot& slot, const Job& waiting,
-                                                  std::int64_t missing) const {
-  const JobSpec& job = waiting.spec();
+Preemption::GangShare Preemption::make_gang_share(MachineSlot& slot, const Job& waiting_job,
+                                                  std::int64_t unassigned_tasks) const {
+  const JobSpec& job = waiting_job.spec();
   GangShare share{&slot, 0, {}};
   Resources room = slot.free_after_stops();
-  for (const Placement* each : victims_.candidates(slot, waiting)) {
-    if (job.each.times_in(room) >= missing) break;
+  for (const Placement* each : victim_selector_.candidates(slot, waiting_job)) {
+    if (job.each.times_in(room) >= unassigned_tasks) break;
     room += each->each;
     share.victims.push_back(each);
   }
-  share.task_count = std::min(missing, job.each.times_in(room));
+  share.task_count = std::min(unassigned_tasks, job.each.times_in(room));
   return share;
 }
 
--- a/src/planning/preemption.hpp
+++ b/src/planning/preemption.hpp
@@ -18,19 +18,20 @@
 class Preemption {
  public:
   /// Both arguments must outlive this object.
-  Preemption(PlanDraft& draft, const JobOrder& order) : draft_(draft), victims_(draft, order) {}
+  Preemption(PlanDraft& draft, const JobOrder& order)
+      : draft_(draft), victim_selector_(draft, order) {}
 
-  /// Reserves resources for one task of `waiting` on one machine: those of stopping tasks or, where
-  /// these are not enough, those of the fewest tasks, which are preempted. The task itself is not
-  /// placed. Returns false when no machine can free enough, or when all searches of this plan are
-  /// used up.
-  bool make_room(const cluster::Job& waiting);
+  /// Reserves resources for one task of `waiting_job` on one machine: those of stopping tasks or,
+  /// where these are not enough, those of the fewest tasks, which are preempted. The task itself is
+  /// not placed. Returns false when no machine can free enough, or when all searches of this plan
+  /// are used up.
+  bool make_room(const cluster::Job& waiting_job);
 
   /// Reserves resources for all schedulable tasks of a gang in `zone`, or in any zone if `zone` is
   /// empty: free ones, those of stopping tasks and those of tasks that are preempted. Returns
   /// false, with nothing preempted or reserved, when these are not enough for the whole gang or all
   /// searches of this plan are used up.
-  bool make_room_for_gang(const cluster::Job& waiting, const std::string& zone);
+  bool make_room_for_gang(const cluster::Job& waiting_job, const std::string& zone);
 
  private:
   /// Tasks of a gang that fit on one machine once its stopping tasks and the victims have exited.
@@ -47,26 +48,26 @@
   };
 
   /// Counts a search for victims. Returns false when all searches of this plan are used up.
-  bool may_search();
+  bool count_search();
   /// Reserves resources of stopping tasks for one task of the job. Returns false when no machine
   /// has enough.
   bool reserve_being_freed(const protocol::JobSpec& job);
-  /// Returns nothing when no machine can free enough for one task of `waiting`.
-  std::optional<BestVictims> find_best_victims(const cluster::Job& waiting);
+  /// Returns nothing when no machine can free enough for one task of `waiting_job`.
+  std::optional<BestVictims> find_best_victims(const cluster::Job& waiting_job);
   /// Shares that together hold all schedulable tasks of the gang; nothing when the machines in
   /// `zone` cannot free enough.
-  std::optional<std::vector<GangShare>> find_gang_shares(const cluster::Job& waiting,
+  std::optional<std::vector<GangShare>> find_gang_shares(const cluster::Job& waiting_job,
                                                          const std::string& zone);
-  /// The share of one machine, with at most `missing` tasks.
-  GangShare make_gang_share(MachineSlot& slot, const cluster::Job& waiting,
-                            std::int64_t missing) const;
+  /// The share of one machine, with at most `unassigned_tasks` tasks.
+  GangShare make_gang_share(MachineSlot& slot, const cluster::Job& waiting_job,
+                            std::int64_t unassigned_tasks) const;
   /// Preempts the victims of the share, and reserves its resources, free or being freed.
   void apply(const GangShare& share, const protocol::JobSpec& gang);
   /// Preempts the placement or, if it belongs to a gang, every task of the gang.
   void preempt(MachineSlot& slot, const cluster::Placement& placement);
 
   PlanDraft& draft_;
-  VictimSelector victims_;
+  VictimSelector victim_selector_;
   int searches_ = 0;
 };
 
--- a/src/planning/service_placement.cpp
+++ b/src/planning/service_placement.cpp
@@ -12,8 +12,9 @@
 
 void ServicePlacement::place(const Job& job) {
   const JobSpec& spec = job.spec();
-  std::uint32_t left = std::min(job.schedulable_tasks(), draft_.quotas().remaining_tasks(spec));
-  for (; left > 0; --left) {
+  std::uint32_t remaining =
+      std::min(job.schedulable_tasks(), draft_.quotas().remaining_tasks(spec));
+  for (; remaining > 0; --remaining) {
     MachineSlot* slot = find_best_slot(draft_.slots(), spec);
     if (slot != nullptr) {
       if (!reserve_booting_machine(job, *slot)) draft_.place(*slot, spec);
@@ -61,7 +62,7 @@
                : std::clamp(machine.last_heartbeat_at + context.heartbeat_interval - context.now,
                             Seconds{0}, context.heartbeat_interval);
   // A fetch of another image delays every replica on the machine that waits for its image.
-  return delay + image_fetch_time(slot, job, slot.fetching_replicas);
+  return delay + image_fetch_time(slot, job, slot.replicas_awaiting_image);
 }
 
 }  // namespace poppystile::planning
--- a/src/planning/victim_selector.cpp
+++ b/src/planning/victim_selector.cpp
@@ -18,17 +18,17 @@
   return owner.is_gang() ? owner.placements.size() : 1;
 }
 
-bool VictimSelector::yields_to(const Job& owner, const Job& waiting) const {
-  if (owner.spec().priority < waiting.spec().priority) return true;
+bool VictimSelector::yields_to(const Job& owner, const Job& waiting_job) const {
+  if (owner.spec().priority < waiting_job.spec().priority) return true;
   // A replica of higher priority is not preempted: its interruption costs its users more than the
   // wait costs the waiting job.
-  if (owner.spec().kind == JobKind::service && owner.spec().priority > waiting.spec().priority)
+  if (owner.spec().kind == JobKind::service && owner.spec().priority > waiting_job.spec().priority)
     return false;
-  return owner.spec().team != waiting.spec().team && order_.is_guaranteed(waiting) &&
+  return owner.spec().team != waiting_job.spec().team && order_.is_guaranteed(waiting_job) &&
          !order_.is_guaranteed(owner);
 }
 
-bool VictimSelector::is_candidate(const Placement& placement, const Job& waiting) const {
+bool VictimSelector::is_candidate(const Placement& placement, const Job& waiting_job) const {
   const auto& jobs = draft_.cluster_state().jobs;
   const auto owner = jobs.find(placement.job);
   if (owner == jobs.end() || placement.stopping || draft_.is_preempted(placement) ||
@@ -36,14 +36,14 @@
     return false;
   // If a gang's workers do not receive stop commands in time, it loses the state not saved yet.
   if (owner->second.is_gang() && !can_preempt_gang(owner->second)) return false;
-  return yields_to(owner->second, waiting);
+  return yields_to(owner->second, waiting_job);
 }
 
 std::vector<const Placement*> VictimSelector::candidates(const MachineSlot& slot,
-                                                         const Job& waiting) const {
+                                                         const Job& waiting_job) const {
   std::vector<const Placement*> found;
   for (const auto& placement : slot.machine->placements)
-    if (is_candidate(placement, waiting)) found.push_back(&placement);
+    if (is_candidate(placement, waiting_job)) found.push_back(&placement);
   std::sort(found.begin(), found.end(), [this](const Placement* a, const Placement* b) {
     const std::size_t cost_a = cost(*a);
     const std::size_t cost_b = cost(*b);
@@ -53,11 +53,11 @@
 }
 
 std::vector<const Placement*> VictimSelector::victims_for_task(const MachineSlot& slot,
-                                                               const Job& waiting) const {
-  const JobSpec& job = waiting.spec();
+                                                               const Job& waiting_job) const {
+  const JobSpec& job = waiting_job.spec();
   std::vector<const Placement*> victims;
   Resources room = slot.free_after_stops();
-  for (const Placement* each : candidates(slot, waiting)) {
+  for (const Placement* each : candidates(slot, waiting_job)) {
     if (job.each.fits(room)) break;
     room += each->each;
     victims.push_back(each);
--- a/src/planning/zone_limits.cpp
+++ b/src/planning/zone_limits.cpp
@@ -13,8 +13,8 @@
       if (count > 0 && other != zone) return 0;
   if (!job.spread) return job.tasks;
   const auto in_zone = zones.find(zone);
-  const std::uint32_t most = (job.tasks + 1) / 2;
-  return in_zone == zones.end() ? most : saturating_subtract(most, in_zone->second);
+  const std::uint32_t max_in_zone = (job.tasks + 1) / 2;
+  return in_zone == zones.end() ? max_in_zone : saturating_subtract(max_in_zone, in_zone->second);
 }
 
 ZoneLimits::TasksByZone& ZoneLimits::tasks_by_zone(const JobSpec& job) {
--- a/tests/unit/machine_slot_test.cpp
+++ b/tests/unit/machine_slot_test.cpp
@@ -57,9 +57,9 @@
   place("array");
   place("service");
   const MachineSlot made = slot();
-  EXPECT_EQ(made.fetched_images, std::vector<std::string>{"img"});
+  EXPECT_EQ(made.pending_images, std::vector<std::string>{"img"});
   EXPECT_TRUE(made.has_or_fetches("img"));
-  EXPECT_EQ(made.fetching_replicas, 1u);
+  EXPECT_EQ(made.replicas_awaiting_image, 1u);
 }
 
 TEST_F(MachineSlotTest, FetchesShareTheMachinesRate) {
