--- a/src/planning/array_placement.cpp
+++ b/src/planning/array_placement.cpp
@@ -42,15 +42,15 @@
   }
 }
 
-void ArrayPlacement::place_where_image_is(const std::vector<const Job*>& jobs) {
-  std::vector<MachineSlot*> slots_with_room;
+void ArrayPlacement::place_on_machines_with_image(const std::vector<const Job*>& jobs) {
+  std::vector<MachineSlot*> slots_with_free_cpus;
   for (auto& slot : draft_.slots())
-    if (slot.free.cpus > 0) slots_with_room.push_back(&slot);
+    if (slot.free.cpus > 0) slots_with_free_cpus.push_back(&slot);
   const TaskCounts placed_by_job = draft_.count_placements_by_job();
   for (const Job* job : jobs) {
     const JobSpec& spec = job->spec();
     std::uint32_t remaining = count_unplaced(*job, placed_by_job);
-    for (MachineSlot* slot : slots_with_room)
+    for (MachineSlot* slot : slots_with_free_cpus)
       for (; remaining > 0 && slot->has_or_fetches(spec.image) && draft_.fits(*slot, spec) &&
              draft_.quotas().remaining_tasks(spec) > 0;
            --remaining)
--- a/src/planning/array_placement.hpp
+++ b/src/planning/array_placement.hpp
@@ -33,7 +33,7 @@
 
   /// Third pass: LABL may assign a task to a busy machine with its image although the task fits on
   /// another machine with the image. Such tasks are placed there, since waiting gains nothing.
-  void place_where_image_is(const std::vector<const cluster::Job*>& jobs);
+  void place_on_machines_with_image(const std::vector<const cluster::Job*>& jobs);
 
   /// Last pass: one task of each array whose first task is overdue is placed on any machine where
   /// it fits, unless this plan has placed a task of the array.
--- a/src/planning/gang_placement.cpp
+++ b/src/planning/gang_placement.cpp
@@ -41,7 +41,7 @@
   const JobSpec& spec = job.spec();
   if (draft_.quotas().remaining_tasks(spec) < job.schedulable_tasks()) return false;
   std::optional<Assignment> best;
-  for (const std::string& zone : zones_for(spec)) {
+  for (const std::string& zone : zones_to_try(spec)) {
     auto found = find_assignment(job, zone);
     if (found && (!best || found->fetch_time < best->fetch_time)) best = std::move(found);
   }
@@ -52,13 +52,13 @@
 }
 
 bool GangPlacement::make_room(const Job& job) {
-  const auto zones = zones_for(job.spec());
+  const auto zones = zones_to_try(job.spec());
   return std::any_of(zones.begin(), zones.end(), [&](const std::string& zone) {
     return preemption_.make_room_for_gang(job, zone);
   });
 }
 
-std::vector<std::string> GangPlacement::zones_for(const JobSpec& job) const {
+std::vector<std::string> GangPlacement::zones_to_try(const JobSpec& job) const {
   if (!job.one_zone) return {""};
   std::set<std::string> zones;
   for (const auto& slot : draft_.slots()) zones.insert(slot.machine->zone);
@@ -117,7 +117,7 @@
   const JobSpec& spec = job.spec();
   std::optional<std::string> best_zone;
   std::uint32_t most_free_tasks = 0;
-  for (const std::string& zone : zones_for(spec)) {
+  for (const std::string& zone : zones_to_try(spec)) {
     std::int64_t attainable_tasks = 0;
     std::uint32_t free_tasks = 0;
     for (const auto& slot : draft_.slots()) {
--- a/src/planning/gang_placement.hpp
+++ b/src/planning/gang_placement.hpp
@@ -51,7 +51,7 @@
   std::vector<MachineSlot*> find_candidates(const cluster::Job& job, const std::string& zone);
   /// With `one_zone`, the zones of all machines, to be tried one at a time; else a single empty
   /// string, which stands for any zone.
-  std::vector<std::string> zones_for(const protocol::JobSpec& job) const;
+  std::vector<std::string> zones_to_try(const protocol::JobSpec& job) const;
   /// Preempts work for the whole gang in the first zone where this frees enough. Returns false,
   /// with nothing preempted, when there is no such zone.
   bool make_room(const cluster::Job& job);
--- a/src/planning/job_order.cpp
+++ b/src/planning/job_order.cpp
@@ -49,14 +49,14 @@
 }
 
 bool JobOrder::is_starved(const Job& job) const {
-  return has_not_begun_for(job, constants::starvation_wait);
+  return has_waited_longer_than(job, constants::starvation_wait);
 }
 
 bool JobOrder::is_first_task_overdue(const Job& job) const {
-  return has_not_begun_for(job, constants::max_first_task_wait);
+  return has_waited_longer_than(job, constants::max_first_task_wait);
 }
 
-bool JobOrder::has_not_begun_for(const Job& job, Seconds wait) const {
+bool JobOrder::has_waited_longer_than(const Job& job, Seconds wait) const {
   return job.waiting() == job.spec().tasks && context_.wall_now - job.record.accepted_at > wait;
 }
 
--- a/src/planning/job_order.hpp
+++ b/src/planning/job_order.hpp
@@ -53,7 +53,7 @@
   void find_guaranteed_jobs();
   SchedulingKey make_key(const cluster::Job& job) const;
   /// Whether the job was accepted more than `wait` ago and all its tasks are still waiting.
-  bool has_not_begun_for(const cluster::Job& job, Seconds wait) const;
+  bool has_waited_longer_than(const cluster::Job& job, Seconds wait) const;
 
   const cluster::ClusterState& cluster_state_;
   const PlanningContext& context_;
--- a/src/planning/planner.cpp
+++ b/src/planning/planner.cpp
@@ -104,7 +104,7 @@
     const auto& arrays = schedulable.arrays[priority];
     array_placement.place_batches(arrays);
     array_placement.place_guaranteed(arrays);
-    array_placement.place_where_image_is(arrays);
+    array_placement.place_on_machines_with_image(arrays);
     array_placement.place_overdue_first_tasks(arrays);
   }
   return draft.take_plan();
--- a/src/planning/preemption.cpp
+++ b/src/planning/preemption.cpp
@@ -76,13 +76,13 @@
                                                   std::int64_t unassigned_tasks) const {
   const JobSpec& job = waiting_job.spec();
   GangShare share{&slot, 0, {}};
-  Resources room = slot.free_after_stops();
+  Resources available_resources = slot.free_after_stops();
   for (const Placement* each : victim_selector_.candidates(slot, waiting_job)) {
-    if (job.each.times_in(room) >= unassigned_tasks) break;
-    room += each->each;
+    if (job.each.times_in(available_resources) >= unassigned_tasks) break;
+    available_resources += each->each;
     share.victims.push_back(each);
   }
-  share.task_count = std::min(unassigned_tasks, job.each.times_in(room));
+  share.task_count = std::min(unassigned_tasks, job.each.times_in(available_resources));
   return share;
 }
 
--- a/src/planning/victim_selector.cpp
+++ b/src/planning/victim_selector.cpp
@@ -56,13 +56,13 @@
                                                                const Job& waiting_job) const {
   const JobSpec& job = waiting_job.spec();
   std::vector<const Placement*> victims;
-  Resources room = slot.free_after_stops();
+  Resources available_resources = slot.free_after_stops();
   for (const Placement* each : candidates(slot, waiting_job)) {
-    if (job.each.fits(room)) break;
-    room += each->each;
+    if (job.each.fits(available_resources)) break;
+    available_resources += each->each;
     victims.push_back(each);
   }
-  if (!job.each.fits(room)) victims.clear();
+  if (!job.each.fits(available_resources)) victims.clear();
   return victims;
 }
 
--- a/tests/unit/gang_placement_test.cpp
+++ b/tests/unit/gang_placement_test.cpp
@@ -30,9 +30,9 @@
   add_gang("req-1", 6);
   EXPECT_TRUE(plan().placements.empty());  // 4 fit in each zone
   add(cluster_state, "b2", 8);
-  const auto made = plan();
-  ASSERT_EQ(made.placements.size(), 6u);
-  for (const auto& each : made.placements) EXPECT_EQ(each.machine[0], 'b');
+  const auto result = plan();
+  ASSERT_EQ(result.placements.size(), 6u);
+  for (const auto& each : result.placements) EXPECT_EQ(each.machine[0], 'b');
 }
 
 TEST_F(GangPlacementTest, TheZoneWhereTheLastImageArrivesFirstIsChosen) {
@@ -41,19 +41,19 @@
   add(cluster_state, "b1", 8).mark_image_used("img", 1);
   add(cluster_state, "b2", 8).mark_image_used("img", 1);
   add_gang("req-1", 6);
-  const auto made = plan();
-  ASSERT_EQ(made.placements.size(), 6u);
-  for (const auto& each : made.placements) EXPECT_EQ(each.machine[0], 'b');
+  const auto result = plan();
+  ASSERT_EQ(result.placements.size(), 6u);
+  for (const auto& each : result.placements) EXPECT_EQ(each.machine[0], 'b');
 }
 
 // With half of the room each, they would wait for one another for ever.
-TEST_F(GangPlacementTest, GangsThatFitOnlyOneAtATimeDoNotShareTheRoom) {
+TEST_F(GangPlacementTest, OfTwoGangsThatFitOnlyOneAtATimeOneIsPlaced) {
   add(cluster_state, "a1", 16);
   add_gang("req-1", 6);
   add_gang("req-2", 6);
-  const auto made = plan();
-  ASSERT_EQ(made.placements.size(), 6u);
-  for (const auto& each : made.placements) EXPECT_EQ(each.job, made.placements[0].job);
+  const auto result = plan();
+  ASSERT_EQ(result.placements.size(), 6u);
+  for (const auto& each : result.placements) EXPECT_EQ(each.job, result.placements[0].job);
 }
 
 TEST_F(GangPlacementTest, SpreadLeavesHalfOfTheTasksToOtherZones) {
@@ -62,9 +62,9 @@
   Job& gang = add_gang("req-1", 5);
   gang.record.spec.one_zone = false;
   gang.record.spec.spread = true;
-  const auto made = plan();
-  ASSERT_EQ(made.placements.size(), 5u);
-  EXPECT_EQ(std::count_if(made.placements.begin(), made.placements.end(),
+  const auto result = plan();
+  ASSERT_EQ(result.placements.size(), 5u);
+  EXPECT_EQ(std::count_if(result.placements.begin(), result.placements.end(),
                           [](const auto& each) { return each.machine == "a1"; }),
             3);
 }
@@ -78,7 +78,7 @@
   EXPECT_EQ(plan().placements.size(), 6u);
 }
 
-TEST_F(GangPlacementTest, FreeRoomIsReservedForAWaitingGang) {
+TEST_F(GangPlacementTest, FreeResourcesAreReservedForAWaitingGangInPartOfEachPeriod) {
   add(cluster_state, "a1", 8);
   add(cluster_state, "a2", 8);
   Job& gang = add_gang("req-1", 6);
@@ -107,12 +107,12 @@
   gang.gang.number = 2;
   gang.gang.placed_at = steady_at(9);
   add(cluster_state, spec("req-3", JobKind::service, 1, Priority::production));
-  const auto made = plan();
-  ASSERT_EQ(made.preemptions.size(), 1u);
-  EXPECT_EQ(made.preemptions[0].job, "req-2");
+  const auto result = plan();
+  ASSERT_EQ(result.preemptions.size(), 1u);
+  EXPECT_EQ(result.preemptions[0].job, "req-2");
 }
 
-TEST_F(GangPlacementTest, AGangPreemptsForAllItsTasksOrNotAtAll) {
+TEST_F(GangPlacementTest, AGangPreemptsForAllItsTasksOrForNone) {
   Machine& machine = add(cluster_state, "a1", 8);
   add(cluster_state, spec("req-2", JobKind::array, 4, Priority::low));
   for (std::uint32_t i = 0; i < 4; ++i)
--- a/tests/unit/labl_lower_bound_test.cpp
+++ b/tests/unit/labl_lower_bound_test.cpp
@@ -9,13 +9,13 @@
 
 const LablWeights paper_weights{1, 3, 1, false};
 
-TEST(LablLowerBound, IsTheTrivialOneForAnEvenPlacement) {
+TEST(LablLowerBound, IsTheTrivialBoundForAnEvenPlacement) {
   // Every task local everywhere, idle servers: ceil(|T| / |S|) (section 3.3).
   const std::vector<LablJob> jobs(10, LablJob{1, {1, 1, 1, 1}, {1, 1, 1, 1}});
   EXPECT_DOUBLE_EQ(labl_lower_bound(jobs, {0, 0, 0, 0}, paper_weights, 1), 3);
 }
 
-TEST(LablLowerBound, LeavesRoomForTasksThatMustRunRemotely) {
+TEST(LablLowerBound, AllowsForTasksThatMustRunRemotely) {
   // The only server with the image is busy until 9; the idle one takes a remote task in 3.
   const std::vector<LablJob> jobs(2, LablJob{1, {1, 1}, {1, 0}});
   EXPECT_DOUBLE_EQ(labl_lower_bound(jobs, {9, 0}, paper_weights, 1), 6);
--- a/tests/unit/labl_test.cpp
+++ b/tests/unit/labl_test.cpp
@@ -49,13 +49,14 @@
   Problem problem;
   std::uniform_int_distribution<int> load(0, 5);
   std::uniform_int_distribution<int> copies(1, max_copies);
-  std::uniform_int_distribution<std::size_t> any(0, servers - 1);
+  std::uniform_int_distribution<std::size_t> any_server(0, servers - 1);
   for (std::size_t server = 0; server < servers; ++server)
     problem.servers.push_back({static_cast<double>(load(random))});
-  problem.servers[any(random)].load = 0;
+  problem.servers[any_server(random)].load = 0;
   for (std::size_t t = 0; t < tasks; ++t) {
     std::vector<std::size_t> local_servers;
-    for (int left = copies(random); left > 0; --left) local_servers.push_back(any(random));
+    for (int remaining = copies(random); remaining > 0; --remaining)
+      local_servers.push_back(any_server(random));
     problem.jobs.push_back(single_task(servers, local_servers));
   }
   return problem;
@@ -67,10 +68,10 @@
   for (const auto &each : problem.servers) load.push_back(each.load);
   double best = 1e9;
   const std::function<void(std::size_t)> assign_from = [&](std::size_t task) {
-    const double now = *std::max_element(load.begin(), load.end());
-    if (now >= best) return;
+    const double current_latency = *std::max_element(load.begin(), load.end());
+    if (current_latency >= best) return;
     if (task == problem.jobs.size()) {
-      best = now;
+      best = current_latency;
       return;
     }
     for (std::size_t server = 0; server < load.size(); ++server) {
@@ -107,20 +108,21 @@
   EXPECT_LE(latency(remote_plan), latency(local_plan));
 }
 
-TEST(Labl, EveryTaskIsPlacedOnceAndLoadsAddUp) {
+TEST(Labl, EveryTaskIsAssignedOnceAndLoadsAddUp) {
   std::mt19937_64 random(7);
   for (int round = 0; round < 50; ++round) {
     const Problem problem = random_problem(random, 12, 40, 3);
     const LablPlan plan = plan_labl(problem.jobs, problem.servers, paper_weights);
-    std::vector<int> placed(problem.jobs.size(), 0);
+    std::vector<int> times_assigned(problem.jobs.size(), 0);
     std::vector<double> load;
     for (const auto &each : problem.servers) load.push_back(each.load);
     for (const auto &each : plan.assignments) {
-      ++placed[each.job];
+      ++times_assigned[each.job];
       load[each.server] += each.is_remote ? 3 : 1;
       EXPECT_EQ(each.is_remote, problem.jobs[each.job].has_image[each.server] == 0);
     }
-    EXPECT_TRUE(std::all_of(placed.begin(), placed.end(), [](int n) { return n == 1; }));
+    EXPECT_TRUE(
+        std::all_of(times_assigned.begin(), times_assigned.end(), [](int n) { return n == 1; }));
     for (std::size_t server = 0; server < load.size(); ++server)
       EXPECT_NEAR(plan.load[server], load[server], 1e-6);
   }
@@ -128,7 +130,7 @@
 
 // Corollary 1: with remote placement always on, the latency is within a remote
 // task of the best.
-TEST(Labl, LatencyIsWithinARemoteTaskOfTheBest) {
+TEST(Labl, LatencyExceedsTheBestByARemoteTaskAtMost) {
   std::mt19937_64 random(11);
   LablWeights always_remote = paper_weights;
   always_remote.remote_offset = 1000;
@@ -143,20 +145,21 @@
 
 // Theorem 2: with remote placement only at the start, the cost is within the
 // bound's room.
-TEST(Labl, CostIsWithinTheRoomBelowTheLowerBound) {
+TEST(Labl, CostIsWithinTheCapacityBelowTheLowerBound) {
   std::mt19937_64 random(13);
   LablWeights remote_at_start = paper_weights;
   remote_at_start.remote_offset = 0;
   for (int round = 0; round < 40; ++round) {
     const Problem problem = random_problem(random, 10, 30, 2);
     const LablPlan plan = plan_labl(problem.jobs, problem.servers, remote_at_start);
-    double room = 0;
-    for (const auto &each : problem.servers) room += std::max(0.0, plan.lower_bound - each.load);
+    double capacity = 0;
+    for (const auto &each : problem.servers)
+      capacity += std::max(0.0, plan.lower_bound - each.load);
     // Phase III may add remote tasks beyond the theorem's premise: at most as
     // many as there are tasks whose local servers are all more loaded than a
     // remote one with the task.
     const auto remote = static_cast<double>(count_remote(plan));
-    EXPECT_LE(cost(plan) - 2 * remote, std::max(room, 30.0));
+    EXPECT_LE(cost(plan) - 2 * remote, std::max(capacity, 30.0));
   }
 }
 
--- a/tests/unit/machine_slot_test.cpp
+++ b/tests/unit/machine_slot_test.cpp
@@ -56,10 +56,10 @@
 TEST_F(MachineSlotTest, OneFetchServesAllTasksOfAnImage) {
   place("array");
   place("service");
-  const MachineSlot made = slot();
-  EXPECT_EQ(made.pending_images, std::vector<std::string>{"img"});
-  EXPECT_TRUE(made.has_or_fetches("img"));
-  EXPECT_EQ(made.replicas_awaiting_image, 1u);
+  const MachineSlot result = slot();
+  EXPECT_EQ(result.pending_images, std::vector<std::string>{"img"});
+  EXPECT_TRUE(result.has_or_fetches("img"));
+  EXPECT_EQ(result.replicas_awaiting_image, 1u);
 }
 
 TEST_F(MachineSlotTest, FetchesShareTheMachinesRate) {
@@ -76,17 +76,17 @@
 
 TEST_F(MachineSlotTest, TaskCapacityIsLimitedByResourcesAndByCount) {
   const JobSpec job = spec("req-1", JobKind::array, 10, Priority::normal);
-  MachineSlot made = slot();
-  EXPECT_EQ(made.task_capacity(job), 4u);
-  made.occupy(job);
-  EXPECT_EQ(made.task_capacity(job), 3u);
-  made.task_count = constants::max_tasks_per_machine - 1;
-  EXPECT_EQ(made.task_capacity(job), 1u);
-  made.task_count = constants::max_tasks_per_machine + 1;
-  EXPECT_EQ(made.task_capacity(job), 0u);
+  MachineSlot result = slot();
+  EXPECT_EQ(result.task_capacity(job), 4u);
+  result.occupy(job);
+  EXPECT_EQ(result.task_capacity(job), 3u);
+  result.task_count = constants::max_tasks_per_machine - 1;
+  EXPECT_EQ(result.task_capacity(job), 1u);
+  result.task_count = constants::max_tasks_per_machine + 1;
+  EXPECT_EQ(result.task_capacity(job), 0u);
 }
 
-TEST_F(MachineSlotTest, ABootingMachineIsExpectedHalfWayUntilItIsOverdue) {
+TEST_F(MachineSlotTest, ABootingMachineIsExpectedMidwayThroughItsRemainingBootTimes) {
   machine.boot_time = Seconds{30};  // up between 18 s and 45 s
   machine.rented_at = wall_at(100);
   EXPECT_DOUBLE_EQ(make_booting_slot(machine, wall_at(100))->ready_in.count(), 31.5);
--- a/tests/unit/planner_fixture.hpp
+++ b/tests/unit/planner_fixture.hpp
@@ -20,8 +20,8 @@
   }
   Plan plan() { return make_plan(cluster_state, context); }
   // Carries out the placements, each as an attempt of its own.
-  void apply(const Plan& made) {
-    for (const auto& each : made.placements)
+  void apply(const Plan& result) {
+    for (const auto& each : result.placements)
       cluster_state.place(cluster_state.machines.at(each.machine), cluster_state.jobs.at(each.job),
                           ++attempts, steady_at(0));
   }
--- a/tests/unit/planner_test.cpp
+++ b/tests/unit/planner_test.cpp
@@ -48,15 +48,15 @@
   EXPECT_EQ(cluster_state.teams.at("ops").used.cpus, 6000);
 }
 
-TEST_F(PlannerTest, HigherPriorityPreemptsOnlyOnce) {
+TEST_F(PlannerTest, NothingMoreIsPreemptedWhilePreemptedTasksStop) {
   add(cluster_state, spec("req-1", JobKind::array, 4, Priority::normal));
   add(cluster_state, "a1", 8);
   apply(plan());
   add(cluster_state, spec("req-2", JobKind::service, 1, Priority::production));
-  const Plan made = plan();
-  ASSERT_EQ(made.preemptions.size(), 1u);
+  const Plan result = plan();
+  ASSERT_EQ(result.preemptions.size(), 1u);
   cluster_state.machines.at("a1")
-      .find(made.preemptions[0].job, made.preemptions[0].index, made.preemptions[0].attempt)
+      .find(result.preemptions[0].job, result.preemptions[0].index, result.preemptions[0].attempt)
       ->stopping = true;
   EXPECT_TRUE(plan().preemptions.empty());  // the room is being freed
 }
@@ -70,21 +70,21 @@
   cluster_state.release_resources(a1, a1.placements[0]);
   job.requeue(2);
   a1.placements.clear();
-  std::set<std::uint32_t> seen;
-  while (job.waiting() > 0) EXPECT_TRUE(seen.insert(job.take_waiting(a1)).second);
-  EXPECT_EQ(seen.size(), 4u);
+  std::set<std::uint32_t> taken_indices;
+  while (job.waiting() > 0) EXPECT_TRUE(taken_indices.insert(job.take_waiting(a1)).second);
+  EXPECT_EQ(taken_indices.size(), 4u);
 }
 
 // Whichever came first.
-TEST_F(PlannerTest, ArraysThatCanBeInTimeGoBeforeLateOnes) {
+TEST_F(PlannerTest, ArraysThatCanMeetTheirTargetArePlacedBeforeOverdueOnes) {
   context.wall_now = wall_at(100);
-  JobSpec late = spec("req-1", JobKind::array, 4, Priority::normal);
-  late.deadline = Seconds{40};
-  JobSpec in_time = spec("req-2", JobKind::array, 4, Priority::normal);
+  JobSpec overdue_job = spec("req-1", JobKind::array, 4, Priority::normal);
+  overdue_job.deadline = Seconds{40};
+  JobSpec attainable_job = spec("req-2", JobKind::array, 4, Priority::normal);
   aims = {{"d", Seconds{60}}};
-  in_time.job_class = "d";
-  add(cluster_state, late);
-  add(cluster_state, in_time);
+  attainable_job.job_class = "d";
+  add(cluster_state, overdue_job);
+  add(cluster_state, attainable_job);
   cluster_state.jobs.at("req-1").record.accepted_at = wall_at(10);
   cluster_state.jobs.at("req-2").record.accepted_at = wall_at(95);
   add(cluster_state, "a1", 8);
@@ -92,14 +92,14 @@
 }
 
 // It begins with a part of its tasks.
-TEST_F(PlannerTest, AStarvedArrayBeginsBesideOneThatCanBeInTime) {
+TEST_F(PlannerTest, FirstTasksOfAStarvedArrayArePlacedBesideAnArrayThatCanMeetItsTarget) {
   context.wall_now = wall_at(400);
-  JobSpec old = spec("req-1", JobKind::array, 60, Priority::normal);
-  old.deadline = Seconds{40};
-  add(cluster_state, old);
-  JobSpec fresh = spec("req-2", JobKind::array, 100, Priority::normal);
-  fresh.deadline = Seconds{500};
-  add(cluster_state, fresh);
+  JobSpec starved_job = spec("req-1", JobKind::array, 60, Priority::normal);
+  starved_job.deadline = Seconds{40};
+  add(cluster_state, starved_job);
+  JobSpec recent_job = spec("req-2", JobKind::array, 100, Priority::normal);
+  recent_job.deadline = Seconds{500};
+  add(cluster_state, recent_job);
   cluster_state.jobs.at("req-2").record.accepted_at = wall_at(399);
   add(cluster_state, "a1", 16);
   std::map<std::string, int> placed;
@@ -109,10 +109,10 @@
 }
 
 // Arrays whose tasks LABL leaves to wait for the image once waited for 90 s beside free room.
-TEST_F(PlannerTest, AnOverdueFirstTaskStartsInAnyRoom) {
+TEST_F(PlannerTest, AnOverdueFirstTaskIsPlacedWhereverItFits) {
   add(cluster_state, spec("req-1", JobKind::array, 3, Priority::normal));
   add(cluster_state, "a1", 32).fetch_gb_per_s = 0.01;
-  const auto started_after = [this](Seconds waited) {
+  const auto placements_after = [this](Seconds waited) {
     cluster_state.jobs.at("req-1").record.accepted_at = context.wall_now - waited;
     PlanDraft draft(cluster_state, context);
     const JobOrder order(cluster_state, context);
@@ -121,11 +121,11 @@
         .place_overdue_first_tasks({&cluster_state.jobs.at("req-1")});
     return draft.take_plan().placements.size();
   };
-  EXPECT_EQ(started_after(constants::max_first_task_wait - Seconds{1}), 0u);
-  EXPECT_EQ(started_after(constants::max_first_task_wait + Seconds{1}), 1u);
-  Machine& elsewhere = add(cluster_state, "b1", 2);
-  cluster_state.place(elsewhere, cluster_state.jobs.at("req-1"), 1, steady_at(0));
-  EXPECT_EQ(started_after(constants::max_first_task_wait + Seconds{1}), 0u);  // it has begun
+  EXPECT_EQ(placements_after(constants::max_first_task_wait - Seconds{1}), 0u);
+  EXPECT_EQ(placements_after(constants::max_first_task_wait + Seconds{1}), 1u);
+  Machine& other_machine = add(cluster_state, "b1", 2);
+  cluster_state.place(other_machine, cluster_state.jobs.at("req-1"), 1, steady_at(0));
+  EXPECT_EQ(placements_after(constants::max_first_task_wait + Seconds{1}), 0u);  // it has begun
 }
 
 // Commands to it may be lost, however much room it has.
@@ -144,35 +144,35 @@
 }
 
 // Whatever the priority of the borrowed work is.
-TEST_F(PlannerTest, GuaranteedWorkTakesBackWhatOtherTeamsBorrow) {
+TEST_F(PlannerTest, GuaranteedWorkPreemptsTeamsAboveTheirGuarantee) {
   teams = {{"ops", 2, 0, 0, 0}, {"lab", 4, 0, 0, 0}};
   add(cluster_state, spec("req-1", JobKind::array, 4, Priority::high));
   add(cluster_state, "a1", 8);
   apply(plan());
-  JobSpec promised = spec("req-2", JobKind::array, 2, Priority::normal);
-  promised.team = "lab";
-  add(cluster_state, promised);
+  JobSpec guaranteed_job = spec("req-2", JobKind::array, 2, Priority::normal);
+  guaranteed_job.team = "lab";
+  add(cluster_state, guaranteed_job);
   EXPECT_EQ(plan().preemptions.size(), 2u);
   cluster_state.jobs.at("req-2").record.spec.tasks = 3;  // beyond the guarantee
   cluster_state.jobs.at("req-2").phases.assign(3, TaskPhase::waiting);
   EXPECT_TRUE(plan().preemptions.empty());
 }
 
-TEST_F(PlannerTest, SpreadAndOneZoneAreKept) {
-  JobSpec apart = spec("req-1", JobKind::array, 5, Priority::normal);
-  apart.spread = true;
-  JobSpec together = spec("req-2", JobKind::array, 3, Priority::normal);
-  together.one_zone = true;
-  add(cluster_state, apart);
-  add(cluster_state, together);
+TEST_F(PlannerTest, SpreadAndOneZoneAreRespected) {
+  JobSpec spread_job = spec("req-1", JobKind::array, 5, Priority::normal);
+  spread_job.spread = true;
+  JobSpec one_zone_job = spec("req-2", JobKind::array, 3, Priority::normal);
+  one_zone_job.one_zone = true;
+  add(cluster_state, spread_job);
+  add(cluster_state, one_zone_job);
   add(cluster_state, "a1", 32);
   add(cluster_state, "b1", 32);
   std::map<std::string, std::map<std::string, int>> zones;
   // A plan leaves out tasks that exceed a zone's half; the next one places them elsewhere.
   for (int round = 0; round < 2; ++round) {
-    const Plan made = plan();
-    for (const auto& each : made.placements) ++zones[each.job][each.machine.substr(0, 1)];
-    apply(made);
+    const Plan result = plan();
+    for (const auto& each : result.placements) ++zones[each.job][each.machine.substr(0, 1)];
+    apply(result);
   }
   EXPECT_LE(zones["req-1"]["a"], 3);
   EXPECT_LE(zones["req-1"]["b"], 3);
@@ -181,7 +181,7 @@
 }
 
 // A task that may be on a machine counts until it is proven to be off it, and no longer.
-TEST_F(PlannerTest, TeamUsageLastsAsLongAsThePlacementEvenIfTheJobIsGone) {
+TEST_F(PlannerTest, TeamUsageLastsAsLongAsThePlacementEvenIfTheJobIsErased) {
   add(cluster_state, spec("req-1", JobKind::array, 3, Priority::normal));
   Machine& machine = add(cluster_state, "a1", 16);
   apply(plan());
@@ -193,24 +193,24 @@
 }
 
 // Such jobs once waited for ever beside a stream of higher priority.
-TEST_F(PlannerTest, AStarvedArrayOfLowerPriorityBeginsFirst) {
+TEST_F(PlannerTest, FirstTasksOfAStarvedArrayArePlacedBeforeHigherPriority) {
   add(cluster_state, spec("req-1", JobKind::array, 50, Priority::normal));
-  JobSpec lower = spec("req-2", JobKind::array, 40, Priority::low);
-  lower.image = "other";
-  add(cluster_state, lower);
+  JobSpec low_priority_job = spec("req-2", JobKind::array, 40, Priority::low);
+  low_priority_job.image = "other";
+  add(cluster_state, low_priority_job);
   add(cluster_state, "a1", 16);
-  const auto count_lower = [&] {
-    const Plan made = plan();
-    return std::count_if(made.placements.begin(), made.placements.end(),
+  const auto count_low_priority_placements = [&] {
+    const Plan result = plan();
+    return std::count_if(result.placements.begin(), result.placements.end(),
                          [](const auto& each) { return each.job == "req-2"; });
   };
   cluster_state.jobs.at("req-1").record.accepted_at = context.wall_now - Seconds{10};
   cluster_state.jobs.at("req-2").record.accepted_at =
       context.wall_now - constants::starvation_wait + Seconds{1};
-  EXPECT_EQ(count_lower(), 0);
+  EXPECT_EQ(count_low_priority_placements(), 0);
   cluster_state.jobs.at("req-2").record.accepted_at =
       context.wall_now - constants::starvation_wait - Seconds{1};
-  EXPECT_EQ(count_lower(), 3);  // a twentieth of it, and one
+  EXPECT_EQ(count_low_priority_placements(), 3);  // a twentieth of it, and one
 }
 
 }  // namespace
--- a/tests/unit/planning_samples.hpp
+++ b/tests/unit/planning_samples.hpp
@@ -35,10 +35,10 @@
 }
 
 inline void add(ClusterState& cluster_state, const JobSpec& job) {
-  Job made;
-  made.record.spec = job;
-  made.phases.assign(job.tasks, TaskPhase::waiting);
-  cluster_state.jobs.emplace(job.id, std::move(made));
+  Job added_job;
+  added_job.record.spec = job;
+  added_job.phases.assign(job.tasks, TaskPhase::waiting);
+  cluster_state.jobs.emplace(job.id, std::move(added_job));
 }
 
 inline Machine& add(ClusterState& cluster_state, const std::string& id, std::int64_t cpus) {
--- a/tests/unit/service_placement_test.cpp
+++ b/tests/unit/service_placement_test.cpp
@@ -16,19 +16,19 @@
 
 class ServicePlacementTest : public PlannerTest {};
 
-TEST_F(ServicePlacementTest, GoesToTheMachineWithTheImage) {
+TEST_F(ServicePlacementTest, AReplicaIsPlacedOnTheMachineWithItsImage) {
   add(cluster_state, spec("req-1", JobKind::service, 1, Priority::high));
   add(cluster_state, "a1", 32);
   add(cluster_state, "b1", 8).mark_image_used("img", 1);
-  const Plan made = plan();
-  ASSERT_EQ(made.placements.size(), 1u);
-  EXPECT_EQ(made.placements[0].machine, "b1");
+  const Plan result = plan();
+  ASSERT_EQ(result.placements.size(), 1u);
+  EXPECT_EQ(result.placements[0].machine, "b1");
 }
 
 TEST_F(ServicePlacementTest, UsesSpotMachinesOnlyWhereAllowed) {
-  JobSpec ordinary = spec("req-1", JobKind::service, 1, Priority::high);
-  ordinary.spot = false;
-  add(cluster_state, ordinary);
+  JobSpec job_without_spot = spec("req-1", JobKind::service, 1, Priority::high);
+  job_without_spot.spot = false;
+  add(cluster_state, job_without_spot);
   add(cluster_state, "a1", 32).spot = true;
   EXPECT_TRUE(plan().placements.empty());
 }
@@ -46,18 +46,19 @@
   booting.incarnation = 0;
   booting.has_reported = booting.has_acknowledged_token = false;
   booting.boot_time = Seconds{30};  // and so up after 31 s or so
-  const auto placed = [&] { return plan().placements.size(); };
-  EXPECT_EQ(placed(), 1u);  // the first fetches; for the others that machine would be too slow
+  const auto placement_count = [&] { return plan().placements.size(); };
+  EXPECT_EQ(placement_count(),
+            1u);  // the first fetches; for the others that machine would be too slow
   context.wall_now = wall_at(44);  // any moment now
-  EXPECT_EQ(placed(), 0u);
+  EXPECT_EQ(placement_count(), 0u);
   context.wall_now = wall_at(46);  // overdue: nobody knows when it will be up
-  EXPECT_EQ(placed(), 4u);
+  EXPECT_EQ(placement_count(), 4u);
   booting.rented_at = context.wall_now = WallTime{constants::max_boot_wait + Seconds{1}};
-  EXPECT_EQ(placed(), 4u);  // they have waited long enough
+  EXPECT_EQ(placement_count(), 4u);  // they have waited long enough
 }
 
 // Replicas that share an image share its fetch.
-TEST_F(ServicePlacementTest, ReplicasOfOneImageGatherWhereItIsFetched) {
+TEST_F(ServicePlacementTest, ReplicasOfOneImageArePlacedOnOneMachine) {
   for (int i = 0; i < 4; ++i) {
     JobSpec replica = spec("req-" + std::to_string(i), JobKind::service, 1, Priority::high);
     replica.image = "img-" + std::to_string(i % 2);
--- a/tests/unit/team_quotas_test.cpp
+++ b/tests/unit/team_quotas_test.cpp
@@ -18,13 +18,13 @@
   std::map<std::string, cluster::TeamUsage> usage;
 };
 
-TEST_F(TeamQuotasTest, AllowWhatIsLeftOfTheScarcestResource) {
+TEST_F(TeamQuotasTest, TheScarcestResourceLimitsTheTasks) {
   usage["ops"].used = {1000, 1000, 0};
   EXPECT_EQ(TeamQuotas({{"ops", 0, 10, 0, 0}}, usage).remaining_tasks(job), 4u);
   EXPECT_EQ(TeamQuotas({{"ops", 0, 10, 0, 3}}, usage).remaining_tasks(job), 2u);
 }
 
-TEST_F(TeamQuotasTest, CountWhatThePlanAdds) {
+TEST_F(TeamQuotasTest, TasksThatThePlanAddsAreCounted) {
   TeamQuotas quotas({{"ops", 0, 10, 0, 0}}, usage);
   quotas.add(job, 3);
   EXPECT_EQ(quotas.remaining_tasks(job), 2u);
@@ -32,11 +32,11 @@
   EXPECT_EQ(quotas.remaining_tasks(job), 0u);
 }
 
-TEST_F(TeamQuotasTest, TakeZeroForNoLimit) {
+TEST_F(TeamQuotasTest, ZeroMeansNoLimit) {
   EXPECT_EQ(TeamQuotas({{"ops", 0, 0, 0, 0}}, usage).remaining_tasks(job), constants::max_tasks);
 }
 
-TEST_F(TeamQuotasTest, AllowNothingToAnUnknownTeam) {
+TEST_F(TeamQuotasTest, AnUnknownTeamMayRunNoTasks) {
   EXPECT_EQ(TeamQuotas({{"lab", 0, 0, 0, 0}}, usage).remaining_tasks(job), 0u);
 }
 
--- a/tests/unit/victim_selector_test.cpp
+++ b/tests/unit/victim_selector_test.cpp
@@ -39,7 +39,7 @@
   PlanningContext context;
 };
 
-TEST_F(VictimSelectorTest, TheYoungestTaskOfLowerPriorityGivesWay) {
+TEST_F(VictimSelectorTest, TheYoungestTaskOfLowerPriorityIsPreempted) {
   machine.size.cpus = 6000;
   place("old", JobKind::array, Priority::low, steady_at(1));
   place("young", JobKind::array, Priority::low, steady_at(2));
@@ -47,14 +47,14 @@
   EXPECT_EQ(victims(), std::vector<std::string>{"young"});
 }
 
-TEST_F(VictimSelectorTest, NobodyIsPreemptedWhereAllCandidatesAreTooFew) {
+TEST_F(VictimSelectorTest, NothingIsPreemptedIfAllCandidatesFreeTooLittle) {
   machine.size.cpus = 2000;
   cluster_state.jobs.at("waiting").record.spec.each.cpus = 4000;
   place("low", JobKind::array, Priority::low, steady_at(1));
   EXPECT_TRUE(victims().empty());
 }
 
-TEST_F(VictimSelectorTest, StoppingTasksAreNoCandidates) {
+TEST_F(VictimSelectorTest, StoppingTasksAreNotCandidates) {
   machine.size.cpus = 2000;
   place("low", JobKind::array, Priority::low, steady_at(1));
   EXPECT_EQ(victims(), std::vector<std::string>{"low"});
@@ -62,7 +62,7 @@
   EXPECT_TRUE(victims().empty());
 }
 
-TEST_F(VictimSelectorTest, AGangThatTakesNoCommandsIsLeftAlone) {
+TEST_F(VictimSelectorTest, AGangWithAnUnresponsiveMachineIsNotPreempted) {
   machine.size.cpus = 2000;
   place("gang", JobKind::gang, Priority::low, steady_at(1));
   Machine& unresponsive = add(cluster_state, "b1", 8);
@@ -72,7 +72,7 @@
   EXPECT_TRUE(victims().empty());
 }
 
-TEST_F(VictimSelectorTest, GuaranteedWorkTakesBackWhatOtherTeamsBorrow) {
+TEST_F(VictimSelectorTest, GuaranteedWorkPreemptsTeamsAboveTheirGuarantee) {
   machine.size.cpus = 2000;
   place("borrowed", JobKind::array, Priority::high, steady_at(1));
   cluster_state.jobs.at("waiting").record.spec.team = "lab";
--- a/tests/unit/zone_limits_test.cpp
+++ b/tests/unit/zone_limits_test.cpp
@@ -18,7 +18,7 @@
   JobSpec job;
 };
 
-TEST_F(ZoneLimitsTest, AllowEveryTaskOfAnUnconstrainedJob) {
+TEST_F(ZoneLimitsTest, AnUnconstrainedJobMayHaveAllTasksInAnyZone) {
   add(cluster_state, job);
   ZoneLimits limits(cluster_state);
   limits.add(job, "a");
@@ -26,7 +26,7 @@
   EXPECT_EQ(limits.remaining_tasks(job, "b"), 5u);
 }
 
-TEST_F(ZoneLimitsTest, KeepAOneZoneJobWhereItsFirstTaskIs) {
+TEST_F(ZoneLimitsTest, AOneZoneJobIsLimitedToTheZoneOfItsFirstTask) {
   job.one_zone = true;
   add(cluster_state, job);
   Machine& machine = add(cluster_state, "a1", 8);
@@ -36,7 +36,7 @@
   EXPECT_FALSE(limits.allows(job, "b"));
 }
 
-TEST_F(ZoneLimitsTest, LeaveHalfOfASpreadJobToOtherZones) {
+TEST_F(ZoneLimitsTest, ASpreadJobHasAtMostHalfOfItsTasksInAZone) {
   job.spread = true;
   add(cluster_state, job);
   ZoneLimits limits(cluster_state);
@@ -46,7 +46,7 @@
   EXPECT_EQ(limits.remaining_tasks(job, "b"), 3u);
 }
 
-TEST(ReplicaZones, ShareCountsTheNextReplicaInTheWhole) {
+TEST(ReplicaZones, ShareIncludesTheNextReplicaInTheTotal) {
   ReplicaZones zones;
   EXPECT_DOUBLE_EQ(zones.share_in("c", "a"), 0);
   zones.add("c", "a");
