--- a/tests/unit/gang_placement_test.cpp
+++ b/tests/unit/gang_placement_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Gangs are placed whole; what they preempt, and what is preempted before them.
+/// Tests of the placement of gangs as a whole, of preemption for gangs, and of preemption of gangs.
 #include "planning/gang_placement.hpp"
 
 #include <gtest/gtest.h>
@@ -28,7 +28,7 @@
   add(cluster_state, "a1", 8);
   add(cluster_state, "b1", 8);
   add_gang("req-1", 6);
-  EXPECT_TRUE(plan().placements.empty());  // 4 fit in each zone
+  EXPECT_TRUE(plan().placements.empty());  // 4 tasks fit in each zone
   add(cluster_state, "b2", 8);
   const auto result = plan();
   ASSERT_EQ(result.placements.size(), 6u);
@@ -46,7 +46,7 @@
   for (const auto& each : result.placements) EXPECT_EQ(each.machine[0], 'b');
 }
 
-// With half of the room each, they would wait for one another for ever.
+// Two gangs that each hold half of the resources would wait for each other for ever.
 TEST_F(GangPlacementTest, OfTwoGangsThatFitOnlyOneAtATimeOneIsPlaced) {
   add(cluster_state, "a1", 16);
   add_gang("req-1", 6);
@@ -88,12 +88,12 @@
     cluster_state.place(cluster_state.machines.at("a1"), cluster_state.jobs.at("req-9"), 1,
                         steady_at(0));
   EXPECT_TRUE(plan().placements.empty());
-  // But not all the time: single tasks have their turn.
+  // In the rest of the period nothing is reserved, so that single tasks are placed.
   gang.record.accepted_at = wall_at(-50);
   EXPECT_FALSE(plan().placements.empty());
 }
 
-// A gang loses all its tasks with one of them.
+// Preempting one task of a gang stops all of them.
 TEST_F(GangPlacementTest, SingleTasksArePreemptedBeforeAGang) {
   Machine& machine = add(cluster_state, "a1", 8);
   Job& gang = add_gang("req-1", 2);
--- a/tests/unit/labl_lower_bound_test.cpp
+++ b/tests/unit/labl_lower_bound_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The lower bound of the latency, against values that are worked out by hand.
+/// Tests of LABL's lower bound of the latency against values computed by hand.
 #include "planning/labl_lower_bound.hpp"
 
 #include <gtest/gtest.h>
@@ -10,13 +10,13 @@
 const LablWeights paper_weights{1, 3, 1, false};
 
 TEST(LablLowerBound, IsTheTrivialBoundForAnEvenPlacement) {
-  // Every task local everywhere, idle servers: ceil(|T| / |S|) (section 3.3).
+  // Every task is local on every server, all servers are idle: ceil(|T| / |S|) (section 3.3).
   const std::vector<LablJob> jobs(10, LablJob{1, {1, 1, 1, 1}, {1, 1, 1, 1}});
   EXPECT_DOUBLE_EQ(labl_lower_bound(jobs, {0, 0, 0, 0}, paper_weights, 1), 3);
 }
 
 TEST(LablLowerBound, AllowsForTasksThatMustRunRemotely) {
-  // The only server with the image is busy until 9; the idle one takes a remote task in 3.
+  // The only server with the image has a load of 9; the idle one takes two remote tasks, of 3 each.
   const std::vector<LablJob> jobs(2, LablJob{1, {1, 1}, {1, 0}});
   EXPECT_DOUBLE_EQ(labl_lower_bound(jobs, {9, 0}, paper_weights, 1), 6);
 }
--- a/tests/unit/labl_test.cpp
+++ b/tests/unit/labl_test.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// LABL alone: the paper's guarantees, and brute force on small cases.
+/// Tests of LABL without the planner: the paper's guarantees, and comparison with the best
+/// assignments of small cases, found by exhaustive search.
 #include "planning/labl.hpp"
 
 #include <gtest/gtest.h>
@@ -12,8 +13,7 @@
 namespace poppystile::planning {
 namespace {
 
-// A job of one task, as in the paper, with its image on `local_servers` and
-// unit costs.
+// A job of one task, as in the paper, with a local cost of 1 and its image on `local_servers`.
 LablJob single_task(std::size_t servers, const std::vector<std::size_t> &local_servers) {
   LablJob job{1, std::vector<double>(servers, 1.0), std::vector<std::uint8_t>(servers, 0)};
   for (const auto server : local_servers) job.has_image[server] = 1;
@@ -42,8 +42,8 @@
   std::vector<LablServer> servers;
 };
 
-// As in section 4: each task has its image on one to `max_copies` servers,
-// loads are from 0 to 5.
+// A problem as in section 4: each task has its image on one to `max_copies` servers, and the loads
+// are from 0 to 5.
 Problem random_problem(std::mt19937_64 &random, std::size_t servers, std::size_t tasks,
                        int max_copies) {
   Problem problem;
@@ -62,7 +62,7 @@
   return problem;
 }
 
-// By trying every assignment.
+// The least latency of all assignments, found by exhaustive search.
 double best_latency(const Problem &problem) {
   std::vector<double> load;
   for (const auto &each : problem.servers) load.push_back(each.load);
@@ -85,10 +85,9 @@
   return best;
 }
 
-// The example of section 3.5 in its shape: ten servers, the least loaded at 0,
-// and twenty tasks with their image on at most two of them. The text lacks the
-// figure with the placement itself, so the paper's statements are checked on
-// one like it.
+// A problem like the example of section 3.5: ten servers, the least loaded at 0, and twenty tasks
+// with their image on at most two of them. The text lacks the figure with the example's data
+// placement, so the paper's statements are checked with another one.
 TEST(Labl, RemotePlacementTradesCostForLatencyAsInThePapersExample) {
   const std::vector<double> loads = {0, 4, 3, 2, 1, 2, 3, 1, 2, 2};
   std::vector<LablServer> servers;
@@ -97,13 +96,13 @@
   std::vector<LablJob> jobs;
   for (std::size_t t = 0; t < 20; ++t) jobs.push_back(single_task(10, {t % 5, 5 + t % 3}));
   LablWeights local_only = paper_weights;
-  local_only.remote_offset = -1;  // no remote placement at all
+  local_only.remote_offset = -1;  // no remote assignments in phase II
   const LablPlan local_plan = plan_labl(jobs, servers, local_only);
   const LablPlan remote_plan = plan_labl(jobs, servers, paper_weights);
   EXPECT_EQ(local_plan.assignments.size(), 20u);
   EXPECT_EQ(remote_plan.assignments.size(), 20u);
   EXPECT_EQ(cost(local_plan),
-            20);  // the least there can be: every task where its data is
+            20);  // the minimum: every task is local
   EXPECT_GE(cost(remote_plan), cost(local_plan));
   EXPECT_LE(latency(remote_plan), latency(local_plan));
 }
@@ -128,8 +127,8 @@
   }
 }
 
-// Corollary 1: with remote placement always on, the latency is within a remote
-// task of the best.
+// Corollary 1: if remote assignments are always allowed, the latency exceeds the best one by at
+// most the cost of a remote task.
 TEST(Labl, LatencyExceedsTheBestByARemoteTaskAtMost) {
   std::mt19937_64 random(11);
   LablWeights always_remote = paper_weights;
@@ -143,8 +142,8 @@
   }
 }
 
-// Theorem 2: with remote placement only at the start, the cost is within the
-// bound's room.
+// Theorem 2: if remote assignments are only allowed at the lower bound, the cost is within the
+// capacity of the servers below that bound.
 TEST(Labl, CostIsWithinTheCapacityBelowTheLowerBound) {
   std::mt19937_64 random(13);
   LablWeights remote_at_start = paper_weights;
@@ -155,9 +154,8 @@
     double capacity = 0;
     for (const auto &each : problem.servers)
       capacity += std::max(0.0, plan.lower_bound - each.load);
-    // Phase III may add remote tasks beyond the theorem's premise: at most as
-    // many as there are tasks whose local servers are all more loaded than a
-    // remote one with the task.
+    // Phase III may add remote tasks that the theorem does not assume: at most as many as there are
+    // tasks whose local servers are all loaded more than a remote server would be with the task.
     const auto remote = static_cast<double>(count_remote(plan));
     EXPECT_LE(cost(plan) - 2 * remote, std::max(capacity, 30.0));
   }
--- a/tests/unit/machine_slot_test.cpp
+++ b/tests/unit/machine_slot_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// What the planner makes of a machine, and how it counts tasks that it adds.
+/// Tests of the slots that the planner makes of machines, and of the tasks that it adds to them.
 #include "planning/machine_slot.hpp"
 
 #include <gtest/gtest.h>
@@ -41,9 +41,10 @@
 
 TEST_F(MachineSlotTest, LoadIsTheRemainingTimeOfArraysOverConcurrentTasks) {
   place("array").phase = PlacementPhase::running;
-  EXPECT_DOUBLE_EQ(slot().load.count(), 5);                  // 20 s, four at a time
-  EXPECT_DOUBLE_EQ(slot(steady_at(8)).load.count(), 3);      // 12 s are left
-  EXPECT_DOUBLE_EQ(slot(steady_at(60)).load.count(), 1.25);  // overdue: a quarter more
+  EXPECT_DOUBLE_EQ(slot().load.count(), 5);              // 20 s remain, four tasks at a time
+  EXPECT_DOUBLE_EQ(slot(steady_at(8)).load.count(), 3);  // 12 s remain
+  EXPECT_DOUBLE_EQ(slot(steady_at(60)).load.count(),
+                   1.25);  // longer than estimated: a quarter of 20 s is assumed
 }
 
 TEST_F(MachineSlotTest, StoppingTasksCountAsBeingFreed) {
@@ -87,7 +88,7 @@
 }
 
 TEST_F(MachineSlotTest, ABootingMachineIsExpectedMidwayThroughItsRemainingBootTimes) {
-  machine.boot_time = Seconds{30};  // up between 18 s and 45 s
+  machine.boot_time = Seconds{30};  // up 18 s to 45 s after the rental
   machine.rented_at = wall_at(100);
   EXPECT_DOUBLE_EQ(make_booting_slot(machine, wall_at(100))->ready_in.count(), 31.5);
   EXPECT_DOUBLE_EQ(make_booting_slot(machine, wall_at(125))->ready_in.count(), 10);
--- a/tests/unit/planner_fixture.hpp
+++ b/tests/unit/planner_fixture.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// A cluster, and plans for it.
+/// Test fixture with a cluster state and the means to make plans for it and to apply them.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -19,7 +19,7 @@
     context.finish_aims = &aims;
   }
   Plan plan() { return make_plan(cluster_state, context); }
-  // Carries out the placements, each as an attempt of its own.
+  /// Applies the plan's placements to the cluster state, each with an attempt number of its own.
   void apply(const Plan& result) {
     for (const auto& each : result.placements)
       cluster_state.place(cluster_state.machines.at(each.machine), cluster_state.jobs.at(each.job),
--- a/tests/unit/planner_test.cpp
+++ b/tests/unit/planner_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Whole plans: order of jobs, limits, guarantees and preemption; and what the cluster state counts
-/// when they are applied.
+/// Tests of whole plans: the order of jobs, limits, guarantees and preemption; and the counts in
+/// the cluster state after plans are applied.
 #include "planning/planner.hpp"
 
 #include <gtest/gtest.h>
@@ -16,7 +16,8 @@
 namespace poppystile::planning {
 namespace {
 
-// The search for a restored job's next task once ran past the last one and corrupted the heap.
+// Guards against the search for a restored job's next waiting task running past the last task and
+// corrupting the heap.
 TEST_F(PlannerTest, OnlyWaitingTasksOfARestoredJobArePlaced) {
   add(cluster_state, spec("req-1", JobKind::array, 5, Priority::normal));
   Job& job = cluster_state.jobs.at("req-1");
@@ -33,7 +34,7 @@
   add(cluster_state, spec("req-1", JobKind::array, 100, Priority::normal));
   add(cluster_state, "a1", 8);
   add(cluster_state, "b1", 4);
-  // A task that a plan leaves to wait for one machine goes to another one soon after.
+  // LABL may assign a task to a machine that is full; a later plan places the task elsewhere.
   for (int round = 0; round < 5; ++round) apply(plan());
   EXPECT_EQ(cluster_state.machines.at("a1").placements.size(), 4u);
   EXPECT_EQ(cluster_state.machines.at("b1").placements.size(), 2u);
@@ -58,15 +59,16 @@
   cluster_state.machines.at("a1")
       .find(result.preemptions[0].job, result.preemptions[0].index, result.preemptions[0].attempt)
       ->stopping = true;
-  EXPECT_TRUE(plan().preemptions.empty());  // the room is being freed
+  EXPECT_TRUE(plan().preemptions.empty());  // the preempted task is freeing resources
 }
 
-// A task that is requeued before its first turn must not be placed twice.
+// A task that is requeued, although the search for tasks that were never placed has yet to pass it,
+// must not be placed twice.
 TEST_F(PlannerTest, ARequeuedTaskIsPlacedOnce) {
   add(cluster_state, spec("req-1", JobKind::array, 4, Priority::normal));
   Job& job = cluster_state.jobs.at("req-1");
   Machine& a1 = add(cluster_state, "a1", 32);
-  cluster_state.restore(a1, job, 2, 1, steady_at(0));  // as after a failover
+  cluster_state.restore(a1, job, 2, 1, steady_at(0));  // the state after a failover
   cluster_state.release_resources(a1, a1.placements[0]);
   job.requeue(2);
   a1.placements.clear();
@@ -75,7 +77,7 @@
   EXPECT_EQ(taken_indices.size(), 4u);
 }
 
-// Whichever came first.
+// The order in which the arrays were accepted does not matter.
 TEST_F(PlannerTest, ArraysThatCanMeetTheirTargetArePlacedBeforeOverdueOnes) {
   context.wall_now = wall_at(100);
   JobSpec overdue_job = spec("req-1", JobKind::array, 4, Priority::normal);
@@ -91,7 +93,7 @@
   for (const auto& each : plan().placements) EXPECT_EQ(each.job, "req-2");
 }
 
-// It begins with a part of its tasks.
+// A part of the starved array's tasks goes first; the other array gets the rest.
 TEST_F(PlannerTest, FirstTasksOfAStarvedArrayArePlacedBesideAnArrayThatCanMeetItsTarget) {
   context.wall_now = wall_at(400);
   JobSpec starved_job = spec("req-1", JobKind::array, 60, Priority::normal);
@@ -108,7 +110,8 @@
   EXPECT_EQ(placed["req-2"], 4);
 }
 
-// Arrays whose tasks LABL leaves to wait for the image once waited for 90 s beside free room.
+// Guards against arrays waiting for 90 s although resources are free, because LABL assigns their
+// tasks to busy machines that have the image.
 TEST_F(PlannerTest, AnOverdueFirstTaskIsPlacedWhereverItFits) {
   add(cluster_state, spec("req-1", JobKind::array, 3, Priority::normal));
   add(cluster_state, "a1", 32).fetch_gb_per_s = 0.01;
@@ -125,10 +128,11 @@
   EXPECT_EQ(placements_after(constants::max_first_task_wait + Seconds{1}), 1u);
   Machine& other_machine = add(cluster_state, "b1", 2);
   cluster_state.place(other_machine, cluster_state.jobs.at("req-1"), 1, steady_at(0));
-  EXPECT_EQ(placements_after(constants::max_first_task_wait + Seconds{1}), 0u);  // it has begun
+  EXPECT_EQ(placements_after(constants::max_first_task_wait + Seconds{1}),
+            0u);  // a task is placed already
 }
 
-// Commands to it may be lost, however much room it has.
+// Commands to an unresponsive machine may be lost, however many resources it has.
 TEST_F(PlannerTest, UnresponsiveMachinesGetNoTasks) {
   add(cluster_state, spec("req-1", JobKind::array, 4, Priority::normal));
   add(cluster_state, "a1", 32).is_unresponsive = true;
@@ -143,7 +147,7 @@
   EXPECT_TRUE(plan().preemptions.empty());
 }
 
-// Whatever the priority of the borrowed work is.
+// Work above a team's guarantee may be preempted even if its priority is higher.
 TEST_F(PlannerTest, GuaranteedWorkPreemptsTeamsAboveTheirGuarantee) {
   teams = {{"ops", 2, 0, 0, 0}, {"lab", 4, 0, 0, 0}};
   add(cluster_state, spec("req-1", JobKind::array, 4, Priority::high));
@@ -168,7 +172,7 @@
   add(cluster_state, "a1", 32);
   add(cluster_state, "b1", 32);
   std::map<std::string, std::map<std::string, int>> zones;
-  // A plan leaves out tasks that exceed a zone's half; the next one places them elsewhere.
+  // A plan omits tasks that exceed half of the job in a zone; the next one places them elsewhere.
   for (int round = 0; round < 2; ++round) {
     const Plan result = plan();
     for (const auto& each : result.placements) ++zones[each.job][each.machine.substr(0, 1)];
@@ -180,7 +184,7 @@
   EXPECT_EQ(std::max(zones["req-2"]["a"], zones["req-2"]["b"]), 3);
 }
 
-// A task that may be on a machine counts until it is proven to be off it, and no longer.
+// A team is charged for a task until its placement is released, also after the job is erased.
 TEST_F(PlannerTest, TeamUsageLastsAsLongAsThePlacementEvenIfTheJobIsErased) {
   add(cluster_state, spec("req-1", JobKind::array, 3, Priority::normal));
   Machine& machine = add(cluster_state, "a1", 16);
@@ -192,7 +196,7 @@
   EXPECT_EQ(machine.used.cpus, 0);
 }
 
-// Such jobs once waited for ever beside a stream of higher priority.
+// Guards against arrays waiting for ever while new work of higher priority keeps arriving.
 TEST_F(PlannerTest, FirstTasksOfAStarvedArrayArePlacedBeforeHigherPriority) {
   add(cluster_state, spec("req-1", JobKind::array, 50, Priority::normal));
   JobSpec low_priority_job = spec("req-2", JobKind::array, 40, Priority::low);
@@ -210,7 +214,7 @@
   EXPECT_EQ(count_low_priority_placements(), 0);
   cluster_state.jobs.at("req-2").record.accepted_at =
       context.wall_now - constants::starvation_wait - Seconds{1};
-  EXPECT_EQ(count_low_priority_placements(), 3);  // a twentieth of it, and one
+  EXPECT_EQ(count_low_priority_placements(), 3);  // a twentieth of its 40 tasks, plus one
 }
 
 }  // namespace
--- a/tests/unit/planning_samples.hpp
+++ b/tests/unit/planning_samples.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Jobs and machines for tests of the planner.
+/// Sample jobs and machines for tests of the planner.
 #pragma once
 
 #include <string>
@@ -18,6 +18,7 @@
 using protocol::JobSpec;
 using protocol::Priority;
 
+/// A job whose tasks use 2 CPUs and 1 GB each, with a 1 GB image and an estimated run time of 20 s.
 inline JobSpec spec(const std::string& id, JobKind kind, std::uint32_t tasks, Priority priority) {
   JobSpec job;
   job.id = id;
@@ -34,6 +35,7 @@
   return job;
 }
 
+/// Adds the job with all its tasks waiting.
 inline void add(ClusterState& cluster_state, const JobSpec& job) {
   Job added_job;
   added_job.record.spec = job;
@@ -41,6 +43,8 @@
   cluster_state.jobs.emplace(job.id, std::move(added_job));
 }
 
+/// Adds a machine that accepts tasks, with `cpus` CPUs and 64 GB. The first letter of its id names
+/// its zone.
 inline Machine& add(ClusterState& cluster_state, const std::string& id, std::int64_t cpus) {
   Machine machine;
   machine.id = id;
--- a/tests/unit/server_load_heap_test.cpp
+++ b/tests/unit/server_load_heap_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The heap of servers by load, while loads grow and servers leave.
+/// Tests of the heap of servers by load, while loads grow and servers join or leave the set.
 #include "planning/server_load_heap.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/unit/service_placement_test.cpp
+++ b/tests/unit/service_placement_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// On which machines replicas of services are placed.
+/// Tests of the choice of machines for replicas of services.
 #include "planning/service_placement.hpp"
 
 #include <gtest/gtest.h>
@@ -33,31 +33,32 @@
   EXPECT_TRUE(plan().placements.empty());
 }
 
-// A machine with a slow link that was up first once took every waiting replica, each with an image
-// of its own, and went on fetching long after the machines that booted a little later were up.
+// Guards against all waiting replicas, each with an image of its own, being placed on the first
+// machine that is up: over a slow link it fetches for long after other booting machines are up.
 TEST_F(ServicePlacementTest, AReplicaWaitsForABootingMachineRatherThanForSlowFetches) {
   for (int i = 0; i < 4; ++i) {
     JobSpec replica = spec("req-" + std::to_string(i), JobKind::service, 1, Priority::high);
     replica.image = "img-" + std::to_string(i);
     add(cluster_state, replica);
   }
-  add(cluster_state, "a1", 32).fetch_gb_per_s = 0.05;  // 20 s an image
+  add(cluster_state, "a1", 32).fetch_gb_per_s = 0.05;  // 20 s for each image
   Machine& booting = add(cluster_state, "b1", 32);
   booting.incarnation = 0;
   booting.has_reported = booting.has_acknowledged_token = false;
-  booting.boot_time = Seconds{30};  // and so up after 31 s or so
+  booting.boot_time = Seconds{30};  // expected to be up after 31.5 s
   const auto placement_count = [&] { return plan().placements.size(); };
   EXPECT_EQ(placement_count(),
-            1u);  // the first fetches; for the others that machine would be too slow
-  context.wall_now = wall_at(44);  // any moment now
+            1u);                   // further fetches on a1 would end after b1 is expected to be up
+  context.wall_now = wall_at(44);  // expected to be up within 1 s
   EXPECT_EQ(placement_count(), 0u);
-  context.wall_now = wall_at(46);  // overdue: nobody knows when it will be up
+  context.wall_now = wall_at(46);  // overdue: it is not waited for
   EXPECT_EQ(placement_count(), 4u);
   booting.rented_at = context.wall_now = WallTime{constants::max_boot_wait + Seconds{1}};
-  EXPECT_EQ(placement_count(), 4u);  // they have waited long enough
+  EXPECT_EQ(placement_count(), 4u);  // the jobs have waited longer than max_boot_wait
 }
 
-// Replicas that share an image share its fetch.
+// One fetch serves all replicas of an image on the machine, so a second fetch elsewhere only costs
+// time.
 TEST_F(ServicePlacementTest, ReplicasOfOneImageArePlacedOnOneMachine) {
   for (int i = 0; i < 4; ++i) {
     JobSpec replica = spec("req-" + std::to_string(i), JobKind::service, 1, Priority::high);
--- a/tests/unit/team_quotas_test.cpp
+++ b/tests/unit/team_quotas_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Teams' limits against their use.
+/// Tests of the number of tasks that teams' limits allow beside their use.
 #include "planning/team_quotas.hpp"
 
 #include <gtest/gtest.h>
@@ -28,7 +28,7 @@
   TeamQuotas quotas({{"ops", 0, 10, 0, 0}}, usage);
   quotas.add(job, 3);
   EXPECT_EQ(quotas.remaining_tasks(job), 2u);
-  quotas.add(job, 3);  // room that is reserved may exceed the limit
+  quotas.add(job, 3);  // reservations may exceed the limit
   EXPECT_EQ(quotas.remaining_tasks(job), 0u);
 }
 
--- a/tests/unit/victim_selector_test.cpp
+++ b/tests/unit/victim_selector_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Which placements give way to a waiting job, and in which order.
+/// Tests of which placements are preempted for a waiting job, and in which order.
 #include "planning/victim_selector.hpp"
 
 #include <gtest/gtest.h>
@@ -20,7 +20,7 @@
     add(cluster_state, spec(id, kind, 1, priority));
     cluster_state.place(machine, cluster_state.jobs.at(id), 1, started);
   }
-  /// Jobs of the victims for one task of the waiting job, in order.
+  /// Ids of the jobs whose tasks are the victims for one task of the waiting job, in order.
   std::vector<std::string> victims() {
     PlanDraft draft(cluster_state, context);
     const JobOrder order(cluster_state, context);
--- a/tests/unit/zone_limits_test.cpp
+++ b/tests/unit/zone_limits_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// What `one_zone` and `spread` allow, and how replicas are spread.
+/// Tests of the zone limits by `one_zone` and `spread`, and of the counts of replicas by zone.
 #include "planning/zone_limits.hpp"
 
 #include <gtest/gtest.h>
