--- a/src/planning/array_batch.hpp
+++ b/src/planning/array_batch.hpp
@@ -20,9 +20,10 @@
   bool is_full() const { return free_cpus_ <= 0; }
   bool is_empty() const { return jobs_.empty(); }
 
-  /// Adds as many of the job's waiting tasks as the team's quota and the free resources allow; of a
-  /// starved array, no more than its first tasks. `batched_tasks` of the job were added to earlier
-  /// batches of this plan and are not added again. Returns the number of tasks added.
+  /// Adds as many of the job's waiting tasks as the team's quota and the free resources allow. Of a
+  /// starved array, all batches of a plan together take at most 1 + its tasks /
+  /// `constants::starved_array_divisor`. `batched_tasks` of the job were added to earlier batches
+  /// of this plan and are not added again. Returns the number of tasks added.
   std::uint32_t add(const cluster::Job& job, std::uint32_t batched_tasks);
 
   /// Assigns the tasks to machines by LABL, and places those that fit on their machine and into
--- a/src/planning/gang_placement.hpp
+++ b/src/planning/gang_placement.hpp
@@ -63,8 +63,8 @@
   /// Periods of `constants::gang_reservation_period` follow one another from the gang's acceptance.
   bool may_reserve(const cluster::Job& job) const;
   /// The zone where the most tasks of the gang fit now, among the zones where all of them would fit
-  /// without the arrays and gangs there; nothing when services leave too little in every zone. An
-  /// empty string stands for any zone.
+  /// without the arrays and gangs there; nothing when services leave too few resources in every
+  /// zone. An empty string stands for any zone.
   std::optional<std::string> find_zone_to_reserve(const cluster::Job& job) const;
 
   PlanDraft& draft_;
--- a/src/planning/labl.cpp
+++ b/src/planning/labl.cpp
@@ -74,9 +74,9 @@
   /// Shifts the loads so that the least loaded server starts at 0, as the paper assumes (3.1).
   void normalise_loads(const std::vector<LablServer>& servers) {
     double least = std::numeric_limits<double>::max();
-    for (const auto& each : servers) least = std::min(least, each.load);
+    for (const auto& input : servers) least = std::min(least, input.load);
     plan_.load.reserve(servers.size());
-    for (const auto& each : servers) plan_.load.push_back(each.load - least);
+    for (const auto& input : servers) plan_.load.push_back(input.load - least);
   }
 
   /// Phase I: servers below the limit, but not by enough for a remote task, are filled with local
@@ -182,8 +182,9 @@
   std::optional<std::size_t> most_constrained_job(std::size_t server) const {
     std::optional<std::size_t> best;
     for (std::size_t job = 0; job < jobs_.size(); ++job) {
-      const LablJob& each = jobs_[job];
-      if (each.task_count == 0 || !each.has_image[server] || each.local_cost[server] <= 0) continue;
+      const LablJob& input = jobs_[job];
+      if (input.task_count == 0 || !input.has_image[server] || input.local_cost[server] <= 0)
+        continue;
       if (!is_within_limit(job, server)) continue;
       if (!best || local_server_counts_[job] < local_server_counts_[*best]) best = job;
     }
@@ -205,13 +206,13 @@
   std::optional<std::size_t> least_loaded_server(std::size_t job, Locality locality) {
     const bool is_local = locality == Locality::local;
     ServerLoadHeap& heap = is_local ? server_heaps_[job].local : server_heaps_[job].remote;
-    const LablJob& each = jobs_[job];
-    const auto is_member = [&each, is_local](std::size_t server) {
-      return (each.has_image[server] != 0) == is_local;
+    const LablJob& input = jobs_[job];
+    const auto is_member = [&input, is_local](std::size_t server) {
+      return (input.has_image[server] != 0) == is_local;
     };
     if (!heap.is_built())
       heap.build(plan_.load, [&](std::size_t server) {
-        return each.local_cost[server] > 0 && is_member(server);
+        return input.local_cost[server] > 0 && is_member(server);
       });
     return heap.least_loaded(plan_.load, is_member);
   }
--- a/src/planning/labl_lower_bound.cpp
+++ b/src/planning/labl_lower_bound.cpp
@@ -51,11 +51,11 @@
 /// that can take at least one), and the cost that all servers together can take within it.
 WorkAmount capacity_within(double limit, const std::vector<double>& load, double remote_cost) {
   WorkAmount capacity;
-  for (double each : load) {
-    capacity.cost += std::max(0.0, limit - each);
-    if (limit - each >= remote_cost)
+  for (double server_value : load) {
+    capacity.cost += std::max(0.0, limit - server_value);
+    if (limit - server_value >= remote_cost)
       capacity.remote_tasks +=
-          std::floor((limit - each) / remote_cost + constants::labl_rounding_slack);
+          std::floor((limit - server_value) / remote_cost + constants::labl_rounding_slack);
   }
   return capacity;
 }
@@ -65,9 +65,9 @@
 double mean_local_cost(const LablJob& job) {
   double sum = 0;
   int servers = 0;
-  for (double each : job.local_cost) {
-    if (each <= 0) continue;
-    sum += each;
+  for (double server_value : job.local_cost) {
+    if (server_value <= 0) continue;
+    sum += server_value;
     ++servers;
   }
   return servers == 0 ? 0 : sum / servers;
--- a/tests/unit/planner_test.cpp
+++ b/tests/unit/planner_test.cpp
@@ -62,8 +62,8 @@
   EXPECT_TRUE(plan().preemptions.empty());  // the preempted task is freeing resources
 }
 
-// A task that is requeued, although the search for tasks that were never placed has yet to pass it,
-// must not be placed twice.
+// A requeued task of a restored job is in `requeued` and may lie beyond `next_unplaced` as well. It
+// must be placed once only.
 TEST_F(PlannerTest, ARequeuedTaskIsPlacedOnce) {
   add(cluster_state, spec("req-1", JobKind::array, 4, Priority::normal));
   Job& job = cluster_state.jobs.at("req-1");
--- a/tests/unit/service_placement_test.cpp
+++ b/tests/unit/service_placement_test.cpp
@@ -57,8 +57,7 @@
   EXPECT_EQ(placement_count(), 4u);  // the jobs have waited longer than max_boot_wait
 }
 
-// One fetch serves all replicas of an image on the machine, so a second fetch elsewhere only costs
-// time.
+// One fetch serves all replicas of an image on a machine.
 TEST_F(ServicePlacementTest, ReplicasOfOneImageArePlacedOnOneMachine) {
   for (int i = 0; i < 4; ++i) {
     JobSpec replica = spec("req-" + std::to_string(i), JobKind::service, 1, Priority::high);
--- a/tests/unit/team_quotas_test.cpp
+++ b/tests/unit/team_quotas_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Tests of the number of tasks that teams' limits allow beside their use.
+/// Tests of how many more tasks the limits and the use of a team allow.
 #include "planning/team_quotas.hpp"
 
 #include <gtest/gtest.h>
