--- a/tests/unit/gang_placement_test.cpp
+++ b/tests/unit/gang_placement_test.cpp
@@ -47,7 +47,7 @@
 }
 
 // Two gangs that each hold half of the resources would wait for each other for ever.
-TEST_F(GangPlacementTest, OfTwoGangsThatFitOnlyOneAtATimeOneIsPlaced) {
+TEST_F(GangPlacementTest, OfTwoGangsThatFitOnlyOneAtATimeOneIsPlacedWhole) {
   add(cluster_state, "a1", 16);
   add_gang("req-1", 6);
   add_gang("req-2", 6);
--- a/tests/unit/labl_test.cpp
+++ b/tests/unit/labl_test.cpp
@@ -101,8 +101,7 @@
   const LablPlan remote_plan = plan_labl(jobs, servers, paper_weights);
   EXPECT_EQ(local_plan.assignments.size(), 20u);
   EXPECT_EQ(remote_plan.assignments.size(), 20u);
-  EXPECT_EQ(cost(local_plan),
-            20);  // the minimum: every task is local
+  EXPECT_EQ(cost(local_plan), 20);  // the minimum: every task is local
   EXPECT_GE(cost(remote_plan), cost(local_plan));
   EXPECT_LE(latency(remote_plan), latency(local_plan));
 }
--- a/tests/unit/machine_slot_test.cpp
+++ b/tests/unit/machine_slot_test.cpp
@@ -43,8 +43,8 @@
   place("array").phase = PlacementPhase::running;
   EXPECT_DOUBLE_EQ(slot().load.count(), 5);              // 20 s remain, four tasks at a time
   EXPECT_DOUBLE_EQ(slot(steady_at(8)).load.count(), 3);  // 12 s remain
-  EXPECT_DOUBLE_EQ(slot(steady_at(60)).load.count(),
-                   1.25);  // longer than estimated: a quarter of 20 s is assumed
+  // Runs longer than estimated: another quarter of the 20 s is assumed.
+  EXPECT_DOUBLE_EQ(slot(steady_at(60)).load.count(), 1.25);
 }
 
 TEST_F(MachineSlotTest, StoppingTasksCountAsBeingFreed) {
@@ -87,7 +87,7 @@
   EXPECT_EQ(result.task_capacity(job), 0u);
 }
 
-TEST_F(MachineSlotTest, ABootingMachineIsExpectedMidwayThroughItsRemainingBootTimes) {
+TEST_F(MachineSlotTest, ABootingMachineIsExpectedMidwayThroughTheRangeOfItsBootTime) {
   machine.boot_time = Seconds{30};  // up 18 s to 45 s after the rental
   machine.rented_at = wall_at(100);
   EXPECT_DOUBLE_EQ(make_booting_slot(machine, wall_at(100))->ready_in.count(), 31.5);
--- a/tests/unit/planner_test.cpp
+++ b/tests/unit/planner_test.cpp
@@ -128,8 +128,8 @@
   EXPECT_EQ(placements_after(constants::max_first_task_wait + Seconds{1}), 1u);
   Machine& other_machine = add(cluster_state, "b1", 2);
   cluster_state.place(other_machine, cluster_state.jobs.at("req-1"), 1, steady_at(0));
-  EXPECT_EQ(placements_after(constants::max_first_task_wait + Seconds{1}),
-            0u);  // a task is placed already
+  // A task of the array is placed already.
+  EXPECT_EQ(placements_after(constants::max_first_task_wait + Seconds{1}), 0u);
 }
 
 // Commands to an unresponsive machine may be lost, however many resources it has.
--- a/tests/unit/service_placement_test.cpp
+++ b/tests/unit/service_placement_test.cpp
@@ -47,8 +47,8 @@
   booting.has_reported = booting.has_acknowledged_token = false;
   booting.boot_time = Seconds{30};  // expected to be up after 31.5 s
   const auto placement_count = [&] { return plan().placements.size(); };
-  EXPECT_EQ(placement_count(),
-            1u);                   // further fetches on a1 would end after b1 is expected to be up
+  // Further fetches on a1 would end after b1 is expected to be up.
+  EXPECT_EQ(placement_count(), 1u);
   context.wall_now = wall_at(44);  // expected to be up within 1 s
   EXPECT_EQ(placement_count(), 0u);
   context.wall_now = wall_at(46);  // overdue: it is not waited for
