--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -71,8 +71,8 @@
   peer_transport_.broadcast(protocol::encode_peer_status(make_status(redirected_heartbeats)));
 }
 
-// Reads a key when nothing else has asked the state service for a while, so that a controller
-// without requests still knows whether it is cut off.
+// Reads a key if the state service has answered no recent call, so that an idle controller also
+// detects whether it can reach the service.
 void Controller::refresh_state_contact() {
   if (runtime_.now() - key_value_client_.last_contact() <= constants::peer_heartbeat_interval)
     return;
@@ -116,7 +116,7 @@
   auto status = peer_monitor_.decode(frame);
   if (!status) return;
   cancellations_.apply(*status);
-  // Frames that a partition held back arrive late; apart from cancellations they are obsolete.
+  // A partition can delay frames; of a delayed frame only the cancellations still apply.
   if (peer_monitor_.is_superseded(*status)) return;
   cancellations_.confirm(*status);
   if (peer_monitor_.is_recent(*status))
@@ -126,28 +126,32 @@
 }
 
 void Controller::step_down_if_superseded(const protocol::PeerStatus& status) {
-  if (status.token > election_.token()) return election_.step_down("a peer knows a higher token");
-  // Without renewals our leader lease has expired, unless the whole state service is down. A peer
-  // that the service has answered since proves that it is not.
+  if (status.token > election_.token())
+    return election_.step_down("a peer reported a higher fencing token");
+  // A leader lease that was not renewed has expired, unless the whole state service has been down.
+  // A peer that received a response more than a lease duration after the last renewal shows that
+  // the service is up.
   const Seconds since_renewal = runtime_.now() - election_.lease_confirmed_at();
   const Seconds lease_duration = constants::leader_lease_ttl + constants::lease_margin;
   const Seconds since_peer_contact = runtime_.wall_now() - status.state_contact_at;
   if (since_renewal > lease_duration &&
       since_peer_contact + lease_duration < since_renewal - settings_.max_clock_offset)
-    election_.step_down("a peer reaches the state service");
+    election_.step_down(
+        "no renewal of the leader lease, although a peer reaches the state service");
 }
 
 // --- requests ---
 
-// Steady time until which this leader may respond to workers (CancellationTracker).
+// Returns the steady time until which this leader may respond to workers; see CancellationTracker.
 SteadyTime Controller::may_respond_until() const {
   if (!leader_.ready())
     return cancellations_.may_respond_until_before_replay(election_.elected_at());
   return cancellations_.may_respond_until();
 }
 
-// Whether users should send requests here. A controller that is cut off alone should be passed
-// over; in an outage all controllers are alike, and being marked unhealthy would outlast it.
+// Whether the health check reports that users can send requests to this controller. It fails only
+// if this controller alone has lost the state service. In an outage of the service no controller
+// is a better choice, and one marked as unhealthy would stay so beyond the end of the outage.
 bool Controller::takes_requests() const {
   if (!shared_state_.loaded()) return false;
   if (runtime_.now() - key_value_client_.last_contact() < constants::state_contact_stale_after)
@@ -166,15 +170,16 @@
   if (!election_.is_leader()) return redirect_heartbeat(respond);
   worker_reachability_.count_direct();
   if (runtime_.now() > may_respond_until()) return respond(cut_off_response());
-  // Responses wait for the journal, and the process may be paused: the lease may be kept alive only
-  // if that is still allowed at the moment of sending.
+  // The time limit is checked again on sending, since the response may wait for the journal and the
+  // process may have been paused: a response past the limit must not extend the worker's lease.
   leader_.handle_heartbeat(heartbeat, [this, respond](const HttpResponse& response) {
     const bool is_late = response.status == 200 && runtime_.now() > may_respond_until();
     respond(is_late ? cut_off_response() : response);
   });
 }
 
-// A heartbeat proves that workers reach this controller, so a cooldown after a resignation ends.
+// Ends the cooldown after a resignation, since the heartbeat proves that workers reach this
+// controller.
 void Controller::redirect_heartbeat(const Respond& respond) {
   worker_reachability_.count_redirected();
   election_.end_cooldown();
--- a/src/coordination/controller.hpp
+++ b/src/coordination/controller.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// One controller: wires the parts together and routes requests.
+/// The controller: constructs and connects its components, and routes requests.
 #pragma once
 
 #include <cstdint>
@@ -24,24 +24,27 @@
 
 namespace poppystile::coordination {
 
-/// One controller of the deployment. All of them answer users; at most one leads and answers
-/// workers, which the others redirect to it.
+/// One controller of the deployment. Every controller answers users. At most one is the leader and
+/// answers workers; the others redirect workers to it.
 class Controller {
  public:
-  /// All references must outlive the controller. `seed` tells this incarnation of the process from
-  /// earlier ones, and starts the random numbers of the election.
+  /// All references must outlive the controller. `seed` identifies this incarnation of the process,
+  /// so it must differ from those of earlier ones. It also seeds the election's random numbers.
   Controller(transport::Runtime& runtime, transport::HttpCaller& http,
              transport::PeerTransport& peers, const protocol::Settings& settings,
              const protocol::Properties& properties, std::uint64_t seed);
-  /// Begins to read the shared state, to campaign and to broadcast. Call it once.
+  /// Starts to load the shared state, to campaign for leadership and to broadcast this controller's
+  /// status to its peers. Call it once.
   void start();
-  /// Routes a request of a user or a worker. `respond` is called once, at once or later.
+  /// Routes a request of a user or a worker. `respond` is called exactly once, before this function
+  /// returns or later.
   void handle(const transport::HttpRequest& request, transport::Respond respond);
-  /// Whether the request is a worker's heartbeat: worker leases depend on those.
+  /// Whether the request is a worker's heartbeat. Worker leases expire without heartbeats, so they
+  /// take precedence over users' requests.
   static bool is_vital(const transport::HttpRequest& request);
-  /// Whether this controller leads, as far as it knows.
+  /// Whether this controller is the leader. May still be true shortly after it was deposed.
   bool is_leader() const { return election_.is_leader(); }
-  /// The fencing token of its newest election; 0 if it was never elected.
+  /// The fencing token of the last election that this controller won; 0 if it has won none.
   std::uint64_t token() const { return election_.token(); }
 
  private:
@@ -60,7 +63,7 @@
   transport::Runtime& runtime_;
   transport::PeerTransport& peer_transport_;
   const protocol::Settings& settings_;
-  std::uint64_t incarnation_;  // of this process; nothing is remembered of earlier ones
+  std::uint64_t incarnation_;  // Identifies this process; no state survives a restart.
   WallTime started_at_;
   KeyValueClient key_value_client_;
   SharedStateCache shared_state_;
--- a/src/coordination/election/leader_election.cpp
+++ b/src/coordination/election/leader_election.cpp
@@ -47,8 +47,8 @@
          !key_is_held_by_other();
 }
 
-// A key with our own name was written by an earlier incarnation of this process, or by a claim of
-// ours that was not answered. Neither leads, so the key can be replaced.
+// A key with this controller's own name was written by an earlier incarnation of the process, or by
+// a claim without a response. Neither is a leader, so the key can be replaced.
 bool LeaderElection::key_is_held_by_other() const {
   const auto& leader = shared_state_.leader();
   return leader && leader->record.name != name_;
@@ -75,8 +75,8 @@
       [this, lease, token, campaign_began](const TransactionResult& result) {
         if (result.status == CallStatus::ok)
           return become_leader(lease, token, result.revision, campaign_began);
-        // A claim without a response may still succeed. Then the watch shows our name, and the next
-        // campaign replaces the key under a higher token.
+        // A claim without a response may still succeed. The watch then shows this controller's name
+        // in the key, and its next campaign replaces the key with a higher token.
         if (result.status != CallStatus::no_response) key_value_client_.revoke_lease(lease);
         end_campaign_after_pause();
       });
@@ -151,7 +151,7 @@
 bool LeaderElection::step_down_if_deposed(const TransactionResult& result) {
   if (std::find(result.failed.begin(), result.failed.end(), keys::leader) == result.failed.end())
     return false;
-  step_down("a write found another leader");
+  step_down("a conditional write failed on the leader key");
   return true;
 }
 
--- a/src/coordination/election/leader_election.hpp
+++ b/src/coordination/election/leader_election.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Leader election: a key held by a lease, and a fencing token that grows with each new leader.
+/// Leader election: a key attached to a lease, and a fencing token that increases with each term.
 #pragma once
 
 #include <cstdint>
@@ -13,51 +13,55 @@
 
 namespace poppystile::coordination {
 
-/// Campaigns for the leader's key, and keeps it by renewing the leader lease.
+/// Campaigns for the leader key, and keeps it by renewing the leader lease.
 ///
-/// At most one controller holds the key at a time. A leader may learn late that it was deposed;
-/// therefore each of its writes is conditional on `fence()`, and what no write protects must be
-/// done only while `lease_holds()`.
+/// At most one controller holds the key at a time. A leader may be deposed without noticing it at
+/// once. Therefore each of its writes must be conditional on `fence()`, and an action that is not
+/// protected by such a write is allowed only while `lease_holds()`.
 class LeaderElection {
  public:
   /// All references must outlive the election. `name` is this controller's name, unique among its
-  /// peers; `seed` starts the jitter of its timers.
+  /// peers; `seed` seeds the jitter of the election timer.
   LeaderElection(transport::Runtime& runtime, KeyValueClient& key_value_client,
                  SharedStateCache& shared_state, std::string name, std::uint64_t seed);
-  /// Begins to campaign whenever there is no leader. Call it once.
+  /// Starts the election timer: from now on this controller campaigns whenever there is no leader.
+  /// Call it once.
   void start();
 
-  /// Whether this controller leads, as far as it knows.
+  /// Whether this controller is the leader. May still be true shortly after it was deposed.
   bool is_leader() const { return role_ == Role::leader; }
-  /// Fencing token of the newest election that this controller won; 0 if it has won none.
+  /// Fencing token of the last election that this controller won; 0 if it has won none.
   std::uint64_t token() const { return token_; }
-  /// The condition for every write of a leader: a late write of a deposed one changes nothing.
+  /// The condition that every write of the leader must carry. It fails once another controller has
+  /// taken the leader key, so a delayed write of a deposed leader changes nothing.
   protocol::Condition fence() const;
-  /// Steady time at which the newest confirmed renewal of the leader lease was sent.
+  /// Steady time at which the last confirmed renewal of the leader lease was sent; the start of the
+  /// campaign until a renewal is confirmed.
   SteadyTime lease_confirmed_at() const { return lease_confirmed_at_; }
-  /// Whether this controller leads and its lease cannot have expired yet, so nobody else can lead.
+  /// Whether this controller is the leader and its lease cannot have expired yet, so that no other
+  /// controller can be the leader.
   bool lease_holds() const;
-  /// Steady time at which the campaign began that this controller won last.
+  /// Steady time at which the last campaign that this controller won began.
   SteadyTime elected_at() const { return elected_at_; }
 
-  /// Stops leading without deleting the key, for example because it belongs to somebody else. Does
-  /// nothing if this controller does not lead. `why` goes to the log.
+  /// Ends this controller's term without deleting the leader key, for example because another
+  /// controller holds it. Does nothing if this controller is not the leader. `why` is logged.
   void step_down(const std::string& why);
-  /// Steps down if the result of a fenced write shows that somebody else leads; returns whether it
-  /// does.
+  /// Steps down if the write failed on the condition `fence()`, so that this controller is no
+  /// longer the leader. Returns whether that condition failed.
   bool step_down_if_deposed(const TransactionResult& result);
-  /// Revokes the leader lease, so that a peer can lead at once, and steps down. This controller
-  /// does not campaign again before `cooldown` has passed. It must be the leader.
+  /// Revokes the leader lease, so that a peer can be elected at once, and steps down. This
+  /// controller does not campaign again until `cooldown` has passed. It must be the leader.
   void resign(const std::string& why, Seconds cooldown);
-  /// Lets this controller campaign again at once after a resignation.
+  /// Ends the cooldown after a resignation: this controller may campaign again at once.
   void end_cooldown() { cooldown_until_ = {}; }
-  /// `handler` runs whenever this controller has become the leader.
+  /// Sets the handler that runs whenever this controller has become the leader.
   void on_elected(std::function<void()> handler) { on_elected_ = std::move(handler); }
-  /// `handler` runs whenever this controller has stopped leading.
+  /// Sets the handler that runs whenever this controller has ceased to be the leader.
   void on_deposed(std::function<void()> handler) { on_deposed_ = std::move(handler); }
 
  private:
-  // follower -> campaigning -> leader -> follower, or from campaigning back to follower.
+  // Transitions: follower -> campaigning -> leader -> follower, and campaigning -> follower.
   enum class Role : std::uint8_t { follower, campaigning, leader };
 
   void tick();
@@ -79,14 +83,14 @@
   std::string name_;
   std::mt19937_64 random_;
   Role role_ = Role::follower;
-  bool is_renewing_ = false;   // a renewal has not been answered yet, maybe of an earlier term
-  std::uint64_t lease_ = 0;    // of the newest term
-  std::uint64_t token_ = 0;    // of the newest term
-  std::uint64_t version_ = 0;  // of the leader's key as this controller wrote it
+  bool is_renewing_ = false;   // A renewal is in flight, possibly one of an earlier term.
+  std::uint64_t lease_ = 0;    // Leader lease of the last term.
+  std::uint64_t token_ = 0;    // Fencing token of the last term.
+  std::uint64_t version_ = 0;  // Version of the leader key as written by this controller.
   SteadyTime lease_confirmed_at_;
   SteadyTime elected_at_;
   SteadyTime renewal_sent_at_;
-  SteadyTime cooldown_until_;  // does not campaign before
+  SteadyTime cooldown_until_;  // This controller does not campaign before this time.
   std::function<void()> on_elected_;
   std::function<void()> on_deposed_;
 };
--- a/src/coordination/election/lease_time.hpp
+++ b/src/coordination/election/lease_time.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Waiting for leases to expire that another machine's clock measures.
+/// Time to wait for leases that are measured by another machine's clock.
 #pragma once
 
 #include "clock.hpp"
@@ -7,8 +7,9 @@
 
 namespace poppystile::coordination {
 
-/// How long to wait by our clock until `span` has surely passed by any other machine's clock.
-/// Allows for the drift of both clocks, and for late timers and packets.
+/// Returns how long to wait by the local clock until `span` has certainly passed by any other
+/// machine's clock. Includes the drift between the clocks and a margin for delayed timers and
+/// packets.
 inline Seconds with_clock_drift(Seconds span) {
   return span * (1 + constants::clock_drift) + constants::lease_margin;
 }
--- a/src/coordination/journal/journal_reader.cpp
+++ b/src/coordination/journal/journal_reader.cpp
@@ -18,7 +18,7 @@
   for (const auto& each : page.entries) versions[each.key] = each.version;
 }
 
-// Throws DecodeError when the journal cannot be understood.
+// Throws DecodeError if the journal cannot be decoded.
 LoadedJournal decode_journal(const protocol::EntryPage& page) {
   storage::JournalReplay replay;
   for (const auto& each : page.entries) replay.add(each.key, each.value);
@@ -61,7 +61,7 @@
   try {
     journal = decode_journal(page);
   } catch (const protocol::DecodeError& problem) {
-    spdlog::error("journal not understood why=\"{}\"", problem.what());
+    spdlog::error("journal unreadable why=\"{}\"", problem.what());
     UnreadableJournal unreadable;
     add_versions(unreadable.versions, page);
     return done(tl::unexpected(std::move(unreadable)));
@@ -77,7 +77,9 @@
                       CallStatus status, const protocol::EntryPage& page) mutable {
         if (status != CallStatus::ok) return retry(done);
         if (page.entries.empty()) return done(std::move(journal));
-        spdlog::error("placements of the first version found records={}", page.entries.size());
+        spdlog::error(
+            "journal unreadable, placement records of the first storage format found records={}",
+            page.entries.size());
         UnreadableJournal unreadable{std::move(journal.versions)};
         add_versions(unreadable.versions, page);
         done(tl::unexpected(std::move(unreadable)));
--- a/src/coordination/journal/journal_reader.hpp
+++ b/src/coordination/journal/journal_reader.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Loads the journal that former leaders left in the state service.
+/// Loads the journal that previous leaders wrote to the state service.
 #pragma once
 
 #include <cstdint>
@@ -19,33 +19,35 @@
 /// Versions of keys in the state service.
 using KeyVersions = std::unordered_map<std::string, std::uint64_t>;
 
-/// A journal that was read whole.
+/// A journal that was read completely.
 struct LoadedJournal {
   storage::ReplayedState state;
   storage::JournalHead head;
-  std::uint64_t next_segment = 1;  // number of the first segment that is not written yet
-  bool is_empty = true;            // no leader has written anything yet
-  KeyVersions versions;            // of all its keys
+  std::uint64_t next_segment = 1;  // Number of the first segment that is not written yet.
+  bool is_empty = true;            // There is neither a snapshot nor a segment.
+  KeyVersions versions;            // Versions of all keys of the journal.
 };
 
-/// A journal that was not understood. Never to be taken for an empty one: anything may be placed
-/// anywhere.
+/// A journal that cannot be decoded. It must not be treated as an empty one, since any task may be
+/// placed on any machine.
 struct UnreadableJournal {
-  KeyVersions versions;  // of all keys that are to be removed before a new journal begins
+  KeyVersions versions;  // Versions of all keys to delete before a new journal is begun.
 };
 
 using LoadResult = tl::expected<LoadedJournal, UnreadableJournal>;
 
-/// Reads the journal, and tries again for as long as the state service does not answer. Only the
-/// leader writes the journal, so the pages of a listing fit together.
+/// Reads the journal, and retries until the state service answers. Only the leader writes the
+/// journal, so the pages of a listing are consistent with each other.
 class JournalReader {
  public:
+  /// Both references must outlive the reader.
   JournalReader(transport::Runtime& runtime, KeyValueClient& key_value_client);
 
-  /// Reads everything and calls `done` once. A load that is still under way is cancelled.
+  /// Reads the whole journal and calls `done` once, unless the load is cancelled. Cancels a load
+  /// that is still in progress.
   void load(const std::function<void(LoadResult)>& done);
 
-  /// The callback of a load that is still under way will not be called.
+  /// Cancels the load in progress, if any: its callback is not called.
   void cancel() { scope_.end(); }
 
  private:
--- a/src/coordination/journal/journal_record.cpp
+++ b/src/coordination/journal/journal_record.cpp
@@ -12,7 +12,7 @@
   return {
       std::clamp<std::size_t>(max_bytes / constants::journal_run_bytes, 1,
                               constants::max_journal_entry_runs),
-      // Whole hex digits of four tasks each.
+      // A multiple of four, since a hex digit holds four tasks.
       std::clamp<std::size_t>(4 * static_cast<std::size_t>(hex_digits), 4,
                               constants::max_bitmap_chunk_tasks),
   };
@@ -28,7 +28,7 @@
       out.emplace_back();
       bytes = 0;
     }
-    bytes += text.size() + 1;  // with the comma behind it
+    bytes += text.size() + 1;  // One byte for the comma that follows.
     out.back().push_back(std::move(text));
   }
   return out;
--- a/src/coordination/journal/journal_writer.cpp
+++ b/src/coordination/journal/journal_writer.cpp
@@ -48,7 +48,8 @@
       return done(std::nullopt);
     }
     versions_ = std::move(result->versions);
-    // The head does not tell the size of the segments; the next snapshot sets it.
+    // The head does not contain the size of the segments, so half of the bytes after which a
+    // snapshot is due are assumed. The next snapshot resets the size.
     const std::size_t segment_bytes =
         result->is_empty ? 0 : constants::min_journal_bytes_before_snapshot / 2;
     open(result->head, result->next_segment, segment_bytes);
@@ -73,7 +74,7 @@
       transaction, RequestPriority::journal,
       scope_.wrap([this, removed, done](const TransactionResult& result) {
         if (result.status == CallStatus::conflict)
-          return election_.step_down("a write found another leader");
+          return election_.step_down("a conditional write failed on the leader key");
         if (result.status != CallStatus::ok) {
           runtime_.after(constants::state_retry_pause, scope_.wrap([this, done] { reset(done); }));
           return;
@@ -99,9 +100,10 @@
 
 // --- batches ---
 
-// A snapshot describes everything appended so far. Reading goes on after it with the first segment
-// that is not written: entries that it covers are then replayed once more, in their order, which
-// changes nothing. So it waits for no segment, and a ring that is full can always be freed.
+// A snapshot covers all entries appended so far, including those in segments that are not written
+// yet. Replay continues after the snapshot with the first of these segments, so entries that the
+// snapshot covers are replayed again, in order, which has no effect. A snapshot therefore never
+// waits for a segment, so that it can free a full ring.
 void JournalWriter::maybe_start_snapshot() {
   if (!on_snapshot_ || !snapshots_.is_due(queue_.next_number())) return;
   snapshots_.start(group_by_record_size(on_snapshot_(), settings_.state_limits.max_value_bytes()),
@@ -124,7 +126,7 @@
 void JournalWriter::take_segments() {
   auto& segments = queue_.segments();
   const std::size_t max_changes = settings_.state_limits.max_changes();
-  // The ring's oldest segments are needed until the next snapshot counts.
+  // The oldest segments in the ring must not be overwritten until the next snapshot is committed.
   while (!segments.empty() && batch_.fits(segments.front(), max_changes) &&
          snapshots_.segments_since(segments.front().number) < max_segments_since_snapshot())
     batch_.take_front(segments);
@@ -137,7 +139,7 @@
   for (std::size_t taken = 0;
        taken < max_chunks && !chunks.empty() && batch_.fits(chunks.front(), max_changes); ++taken)
     batch_.take_front(chunks);
-  // The head counts only with every chunk: committed, or in the same transaction.
+  // The head may be written only after all chunks, or in the same transaction as the last of them.
   if (snapshots_.is_head_due() && batch_.records().size() < max_changes)
     batch_.add(snapshots_.next_head_record());
 }
@@ -172,28 +174,29 @@
 void JournalWriter::on_write_result(const TransactionResult& result) {
   write_in_flight_ = false;
   if (result.status == CallStatus::ok) return commit_batch(result.revision);
-  // The same again would be refused again: a successor begins with a snapshot of its own.
+  // The same transaction would be rejected again. The next leader begins with a new snapshot.
   if (result.status == CallStatus::invalid)
-    return election_.step_down("the state service refuses the journal");
+    return election_.step_down("the state service rejected a journal transaction as invalid");
   if (result.status != CallStatus::conflict) {
-    // Also when nobody knows whether it was carried out: the same again, word for word.
+    // The identical transaction is sent again, also if it may have been executed already.
     next_send_at_ = std::max(next_send_at_, runtime_.now() + constants::journal_retry_pause);
     return;
   }
   if (!election_.step_down_if_deposed(result)) verify_batch_committed();
 }
 
-// A version had moved: an earlier try of this very batch must have been carried out after all.
+// Handles a conflict on a journal key. Since only the leader writes the journal, an earlier attempt
+// to write this batch must have been executed; this reads a key back to verify it.
 void JournalWriter::verify_batch_committed() {
   write_in_flight_ = true;
   key_value_client_.get(
       batch_.records().front().key, RequestPriority::journal,
       scope_.wrap([this](CallStatus status, std::optional<protocol::Entry> entry) {
         write_in_flight_ = false;
-        if (status != CallStatus::ok) return;  // the next try conflicts again
+        if (status != CallStatus::ok) return;  // The next attempt conflicts again.
         const std::string& written = batch_.records().front().value;
         if (!entry || entry->value != Json::parse(written, nullptr, false))
-          return election_.step_down("the journal has moved");
+          return election_.step_down("a journal key holds a value that this leader did not write");
         commit_batch(entry->version);
       }));
 }
--- a/src/coordination/journal/journal_writer.hpp
+++ b/src/coordination/journal/journal_writer.hpp
@@ -1,11 +1,11 @@
 /// \file
 /// Writes the leader's journal (storage/journal_entry.hpp) to the state service.
 ///
-/// Segments go to a ring of keys, one transaction at a time, each conditional on the leader's own
-/// key and on the versions of the keys that it overwrites. A transaction whose outcome is unknown
-/// is sent again word for word, until it is committed or found to be committed: so the order of
-/// entries is the order in which they were appended, and what is durable is told by one number, the
-/// log position.
+/// Segments are written to a ring of keys, one transaction at a time. Each transaction is
+/// conditional on the leader key and on the versions of the keys that it overwrites. A transaction
+/// whose outcome is unknown is repeated with identical content until it is committed, or found to
+/// have been committed. Entries are therefore stored in the order in which they were appended, and
+/// a single number, the log position, defines which of them are durable.
 #pragma once
 
 #include <cstdint>
@@ -26,45 +26,50 @@
 
 namespace poppystile::coordination {
 
+/// The journal of the current leader: loads it at the beginning of a term and then appends to it.
 class JournalWriter {
  public:
+  /// All references must outlive the writer.
   JournalWriter(transport::Runtime& runtime, KeyValueClient& key_value_client,
                 LeaderElection& election, const protocol::Settings& settings);
 
-  /// Begins a term: reads what former leaders wrote, and passes on what replaying it gives, or
-  /// nothing when it cannot be understood. In that case `reset` has to follow before anything is
-  /// written.
+  /// Begins a term: reads the journal of previous leaders and calls `done` with the state that its
+  /// replay produces, or with `nullopt` if the journal cannot be decoded. In that case `reset` must
+  /// be called, and nothing is written before it is done.
   void load(std::function<void(std::optional<storage::ReplayedState>)> done);
 
-  /// Removes the journal that `load` did not understand and begins an empty one; then calls `done`.
+  /// Deletes the journal that `load` could not decode and begins an empty one, then calls `done`.
+  /// Retries until the state service answers; `done` is not called if the term ends before.
   void reset(const std::function<void()>& done);
 
-  /// This controller no longer leads: drops what is not written, and ignores answers under way.
+  /// Ends the term: discards all entries that are not written and ignores outstanding responses.
   void end_term();
 
-  /// Returns the log position up to which the journal must be written for the entry to be durable.
+  /// Appends an entry. Returns its log position: the entry is durable once `is_durable` returns
+  /// true for this position.
   std::uint64_t append(storage::JournalEntry entry);
 
-  /// Whether everything up to this log position will be found by a successor.
+  /// Whether all entries up to this log position are committed, so that the next leader reads them.
   bool is_durable(std::uint64_t log_position) const { return log_position <= committed_position_; }
 
-  /// What one entry may carry at most under the present limits.
+  /// The limits that one entry must observe under the current settings.
   storage::EntryLimits entry_limits() const;
 
-  /// Sends the next transaction when there is something to write and its rate allows it; to be
-  /// called often while leading.
+  /// Sends the next transaction if there are records to write, none is in flight and the rate limit
+  /// allows it. The leader must call it often.
   void pump();
 
-  /// Segments that a successor would have to read after the snapshot.
+  /// Number of segments that the next leader would have to replay after the committed snapshot.
   std::uint64_t segments_since_snapshot() const;
 
-  /// Segments that may be written before the next snapshot counts.
+  /// Number of segments that may follow the committed snapshot before the next one is committed.
   std::uint64_t max_segments_since_snapshot() const { return snapshots_.max_segments_since(); }
 
-  /// Called when a transaction was committed.
+  /// Sets the handler that runs whenever a transaction has been committed.
   void on_committed(std::function<void()> handler) { on_committed_ = std::move(handler); }
 
-  /// Called for the entries that describe everything appended so far.
+  /// Sets the function that provides the entries of a snapshot. Their replay must produce the same
+  /// state as that of all entries appended so far.
   void on_snapshot(std::function<std::vector<storage::JournalEntry>()> handler) {
     on_snapshot_ = std::move(handler);
   }
@@ -89,10 +94,10 @@
   JournalReader reader_;
   TermScope scope_;
   bool open_ = false;
-  KeyVersions versions_;  // of all keys of the journal
+  KeyVersions versions_;  // Versions of all keys of the journal.
   SegmentQueue queue_;
   SnapshotSchedule snapshots_;
-  JournalBatch batch_;  // in a transaction, or to be sent again
+  JournalBatch batch_;  // The records in flight, or those of the transaction to send next.
   std::uint64_t committed_position_ = 0;
   bool write_in_flight_ = false;
   SteadyTime next_send_at_;
--- a/src/coordination/journal/segment_queue.hpp
+++ b/src/coordination/journal/segment_queue.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Entries that were appended to the journal but are in no transaction yet.
+/// Journal entries that were appended but are not part of a transaction yet.
 #pragma once
 
 #include <cstddef>
@@ -12,35 +12,37 @@
 
 namespace poppystile::coordination {
 
-/// Collects entries, merged where one can carry two, and seals them into numbered segments.
+/// Collects entries, merges them where possible, and seals them into numbered segments.
 ///
-/// A log position counts appended entries: an entry is durable once the journal is written up to
-/// the position that `append` returned.
+/// A log position is the number of entries appended in this term. An entry is durable once the
+/// journal is written up to the position that `append` returned for it.
 class SegmentQueue {
  public:
-  /// A new term: nothing is appended, and the next segment has this number.
+  /// Begins a term with an empty queue. `next_number` is the number of the next segment.
   void begin_term(std::uint64_t next_number);
 
-  /// Drops everything that is in no transaction.
+  /// Discards all entries and all sealed segments.
   void clear();
 
-  /// Returns the entry's log position.
+  /// Appends an entry, or merges it into the last one if the result has at most `max_elements`
+  /// elements. Returns the entry's log position.
   std::uint64_t append(storage::JournalEntry entry, std::size_t max_elements);
 
-  /// Puts what was appended into segments of at most `max_bytes` of entries. Only the last of them
-  /// holds all that was appended, the others are given `committed_position`. Returns the bytes of
-  /// the new segments.
+  /// Moves the collected entries into segments with at most `max_bytes` of entries each. All of
+  /// these entries are durable only with the last segment, which gets the position of the last
+  /// entry; the other segments get `committed_position`. Returns the total size of the new segments
+  /// in bytes.
   std::size_t seal(std::uint64_t token, std::size_t max_bytes, std::uint64_t committed_position);
 
-  /// The sealed segments.
+  /// The sealed segments that are not part of a transaction yet, oldest first.
   std::deque<JournalRecord>& segments() { return segments_; }
 
-  /// The number of the first segment that is in no transaction, sealed or not.
+  /// Number of the first segment that is not part of a transaction yet, whether sealed or not.
   std::uint64_t first_queued() const {
     return segments_.empty() ? next_number_ : segments_.front().number;
   }
 
-  /// The number of the segment that will be sealed next.
+  /// Number of the next segment to be sealed.
   std::uint64_t next_number() const { return next_number_; }
 
  private:
--- a/src/coordination/journal/snapshot_schedule.hpp
+++ b/src/coordination/journal/snapshot_schedule.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// When the journal's next snapshot is due, and the chunks of the one that is being written.
+/// Decides when the journal's next snapshot is due, and holds the chunks of the one in progress.
 #pragma once
 
 #include <cstddef>
@@ -14,61 +14,66 @@
 
 namespace poppystile::coordination {
 
-/// Keeps the journal short: a snapshot is due once the segments after the last one are many or
-/// large, and it is written at a pace that leaves segments for what happens meanwhile.
+/// Bounds the length of the journal: a snapshot is due once the segments after the last one exceed
+/// a number or a size in bytes. It is written fast enough that segments remain for the entries
+/// appended in the meantime.
 ///
-/// Two snapshots matter: the one that counts, which the stored head names, and the next one, of
-/// which the head says nothing before all its chunks are written.
+/// There are up to two snapshots: the committed one, to which the stored head refers, and the one
+/// in progress. The head refers to a snapshot only once all its chunks are written.
 class SnapshotSchedule {
  public:
-  /// A new term: `head` names the snapshot that counts. `segment_bytes`: of the segments after it.
+  /// Begins a term. `head` refers to the committed snapshot; `segment_bytes` is the total size of
+  /// the segments after it.
   void begin_term(const storage::JournalHead& head, std::size_t segment_bytes);
 
-  /// Drops the snapshot that is being written.
+  /// Discards the snapshot in progress, if any.
   void abandon();
 
-  /// Counts a segment of this size that lies after the snapshot.
+  /// Adds `bytes` to the size of the segments after the newest snapshot.
   void on_segment_sealed(std::size_t bytes) { segment_bytes_ += bytes; }
 
-  /// Whether a snapshot should be started. `next_segment`: the number of the first unused segment.
+  /// Whether a snapshot should be started; false while one is in progress. `next_segment` is the
+  /// number of the first unused segment.
   bool is_due(std::uint64_t next_segment) const;
 
-  /// Starts a snapshot of these entries, grouped by record. Reading goes on after it with
-  /// `first_segment`. None may be under way.
+  /// Starts a snapshot of the encoded entries in `groups`, one group per chunk. Replay continues
+  /// after the snapshot with `first_segment`. No snapshot may be in progress. `token` is the
+  /// leader's fencing token.
   void start(const std::vector<std::vector<std::string>>& groups, std::uint64_t first_segment,
              std::uint64_t token);
 
-  /// The chunks that are in no transaction yet.
+  /// The chunks that are not part of a transaction yet.
   std::deque<JournalRecord>& chunks() { return chunks_; }
 
-  /// Whether every chunk of the snapshot under way is in a transaction, so that the head may
-  /// follow in the same one or a later one.
+  /// Whether every chunk of the snapshot in progress is part of a transaction, so that the head may
+  /// be written in the same transaction as the last chunk or in a later one.
   bool is_head_due() const { return next_head_.has_value() && chunks_.empty(); }
 
-  /// The head that makes the snapshot under way the one that counts. One must be under way.
+  /// The head record that commits the snapshot in progress, which must exist.
   JournalRecord next_head_record() const;
 
-  /// That head was written.
+  /// Must be called when the record from `next_head_record` was written: the snapshot in progress
+  /// becomes the committed one.
   void on_head_committed();
 
-  /// Segments that a successor has to read after the snapshot that counts.
+  /// Number of segments that the next leader has to replay after the committed snapshot.
   std::uint64_t segments_since(std::uint64_t next_segment) const {
     return next_segment - head_.first_segment;
   }
 
-  /// Segments that may be written before the next snapshot counts.
+  /// Number of segments that may follow the committed snapshot before the next one is committed.
   std::uint64_t max_segments_since() const;
 
-  /// Chunks that may go into one transaction. Of the segments that are left when a snapshot begins,
-  /// half may be used up until it is written.
+  /// Maximum number of chunks in one transaction, chosen so that at most half of the segments that
+  /// remain when a snapshot is started are used until it is written.
   std::size_t max_chunks_per_write() const;
 
  private:
   storage::JournalHead head_;
-  std::optional<storage::JournalHead> next_head_;  // of the snapshot that is being written
+  std::optional<storage::JournalHead> next_head_;  // Head of the snapshot in progress.
   std::deque<JournalRecord> chunks_;
-  std::size_t snapshot_bytes_ = 0;  // of the newest snapshot
-  std::size_t segment_bytes_ = 0;   // of the segments since it was started
+  std::size_t snapshot_bytes_ = 0;  // Size of the snapshot that was started last.
+  std::size_t segment_bytes_ = 0;   // Total size of the segments since then.
 };
 
 }  // namespace poppystile::coordination
--- a/src/coordination/peers/cancellation_tracker.cpp
+++ b/src/coordination/peers/cancellation_tracker.cpp
@@ -12,8 +12,9 @@
   status.fresh_as_of_wall = shared_state_.fresh_as_of_wall();
   for (const auto& id : shared_state_.cancelled()) {
     if (status.cancelled.size() == constants::max_advertised_cancellations) {
-      // Worker leases then depend on what the state service proves alone.
-      spdlog::error("more cancelled jobs than a status frame names limit={}",
+      // Peers do not rely on an incomplete status: a leader may then extend worker leases only as
+      // long as some controller receives responses of the state service.
+      spdlog::error("peer status incomplete, too many cancelled jobs limit={}",
                     constants::max_advertised_cancellations);
       status.all_cancelled = false;
       return;
@@ -37,9 +38,10 @@
   confirmation.confirmed_until = std::max(confirmation.confirmed_until, to_steady(status.sent_at));
 }
 
-// A restarted process does not remember what its earlier incarnation told users. Its confirmation
-// covers that once it has loaded the shared state, which includes whatever was committed by then,
-// or once our own or another peer's shared state is known to be newer than the restart.
+// A restarted process has no record of the cancellations that its earlier incarnation confirmed to
+// users. All of them were committed before the restart. So its status covers them once it has
+// loaded the shared state, or once the shared state here or on another peer is newer than the
+// restart.
 bool CancellationTracker::speaks_for_earlier_incarnations(
     const protocol::PeerStatus& status) const {
   return status.fresh_as_of_wall != WallTime{} ||
@@ -70,14 +72,15 @@
   return elected_at + response_budget() * constants::unready_response_share;
 }
 
-// How long after an unknown cancellation a response may still be sent, so that the lease which it
-// keeps alive expires within `cancel_timeout`.
+// Returns how long after a cancellation that has not reached this leader it may still respond, so
+// that the worker lease which the response extends expires within `cancel_timeout`.
 Seconds CancellationTracker::response_budget() const {
   return settings_.cancel_timeout - settings_.worker_lease * (1 + constants::clock_drift) -
          3 * constants::lease_margin;
 }
 
-// Our steady time at a time of day by a peer's clock; surely not later than the true one.
+// Converts a wall time read from a peer's clock to this controller's steady time. Allows for the
+// offset of the clocks, so the result is never later than the true time.
 SteadyTime CancellationTracker::to_steady(WallTime time) const {
   const Seconds age = runtime_.wall_now() - time;
   return runtime_.now() - std::max(Seconds{0}, age) - 2 * settings_.max_clock_offset;
--- a/src/coordination/peers/cancellation_tracker.hpp
+++ b/src/coordination/peers/cancellation_tracker.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Up to when this controller knows every cancellation that any user was told of.
+/// Tracks up to which time this controller has every cancellation that was confirmed to a user.
 #pragma once
 
 #include <map>
@@ -12,46 +12,48 @@
 
 namespace poppystile::coordination {
 
-/// Exchanges cancellations with the peers, and holds the lease invariant: a worker lease that a
-/// leader keeps alive ends within `cancel_timeout` of any cancellation that the leader does not
-/// know (docs/design.md).
+/// Exchanges cancellations with the peers, and maintains the lease invariant: a worker lease that a
+/// leader keeps alive ends within `cancel_timeout` of any cancellation that has not reached the
+/// leader (docs/design.md).
 ///
-/// A controller tells a user of a cancellation only once its own shared state shows it. Everything
-/// told to users before some time is therefore known here when
-/// - the local shared state, or a peer's that was advertised to us, includes all that was committed
-///   by then, or
-/// - each peer has confirmed that its advertisements up to then named all that it told users. This
-///   holds through an outage of the state service, in which nothing can be read.
+/// A controller confirms a cancellation to a user only once its own shared state includes it.
+/// Therefore this controller has every cancellation confirmed before a time T if
+/// - its own shared state, or that of a peer which has advertised its cancellations to it, includes
+///   everything committed before T, or
+/// - each peer has advertised, at T or later, all cancellations that it confirmed to users. This
+///   also works in an outage of the state service, when nothing can be read.
 class CancellationTracker {
  public:
-  /// All arguments must outlive the tracker.
+  /// All references must outlive the tracker.
   CancellationTracker(const transport::Runtime& runtime, const protocol::Settings& settings,
                       SharedStateCache& shared_state)
       : runtime_(runtime), settings_(settings), shared_state_(shared_state) {}
 
-  /// Fills the fields of an own status that concern cancellations. When there are more cancelled
-  /// jobs than a status may name, the status is marked as incomplete and confirms nothing.
+  /// Fills the cancellation fields of this controller's outgoing status. If more jobs are cancelled
+  /// than a status may list (`max_advertised_cancellations`), the status is marked as incomplete
+  /// and confirms nothing.
   void advertise(protocol::PeerStatus& status) const;
-  /// Marks the jobs named by a peer as cancelled in the shared state. Valid for a status of any
+  /// Marks the jobs listed by a peer as cancelled in the shared state. Valid for a status of any
   /// age, since a cancellation is final.
   void apply(const protocol::PeerStatus& status);
-  /// Takes in up to when the peer confirms that we know its cancellations. The status must not be
-  /// superseded, and `apply` must have been called with it.
+  /// Records the time up to which this status confirms that the peer's cancellations have arrived
+  /// here. The status must not be superseded, and `apply` must have been called with it before.
   void confirm(const protocol::PeerStatus& status);
 
-  /// Steady time up to which every cancellation that any user was told of is known here.
+  /// Steady time up to which this controller has every cancellation that was confirmed to a user.
   SteadyTime known_until() const;
-  /// Steady time until which a leader that has replayed the journal may respond to workers; a
-  /// response keeps the worker's lease alive for its full length.
+  /// Steady time until which a leader that has replayed the journal may respond to workers. Each
+  /// response extends the worker's lease by its full duration.
   SteadyTime may_respond_until() const;
-  /// The same for a leader elected at `elected_at` that has not replayed the journal yet. It keeps
-  /// leases alive but stops nothing, not even tasks cancelled before its election.
+  /// The same limit for a leader elected at `elected_at` that has not replayed the journal yet. Its
+  /// responses extend leases but stop no tasks, not even those cancelled before its election.
   SteadyTime may_respond_until_before_replay(SteadyTime elected_at) const;
 
  private:
   struct PeerConfirmation {
-    std::uint64_t incarnation = 0;  // of the peer's process that confirmed last
-    // Whatever cancellation the peer told a user of before, in any incarnation, is known here.
+    std::uint64_t incarnation = 0;  // Incarnation of the peer that sent the last confirmation.
+    // This controller has every cancellation that any incarnation of the peer confirmed to a user
+    // before this time.
     SteadyTime confirmed_until;
   };
 
@@ -63,8 +65,9 @@
   const transport::Runtime& runtime_;
   const protocol::Settings& settings_;
   SharedStateCache& shared_state_;
-  std::map<std::string, PeerConfirmation> confirmations_;  // by the peer's name
-  // Whatever was committed before is included in the shared state of some peer, advertised to us.
+  std::map<std::string, PeerConfirmation> confirmations_;  // Keyed by the peer's name.
+  // The newest shared state of any peer that has advertised its cancellations includes everything
+  // committed before this time.
   SteadyTime peers_fresh_as_of_;
 };
 
--- a/src/coordination/peers/peer_monitor.cpp
+++ b/src/coordination/peers/peer_monitor.cpp
@@ -12,14 +12,14 @@
 std::optional<protocol::PeerStatus> PeerMonitor::decode(const std::string& frame) const {
   auto status = protocol::decode_peer_status(frame);
   if (!status) {
-    spdlog::info("peer status malformed bytes={}", frame.size());
+    spdlog::info("peer status frame malformed bytes={}", frame.size());
     return std::nullopt;
   }
   const bool is_configured =
       std::any_of(settings_.peers.begin(), settings_.peers.end(),
                   [&](const auto& peer) { return peer.name == status->name; });
   if (!is_configured) {
-    spdlog::info("peer status of an unknown controller name={}", status->name);
+    spdlog::info("peer status ignored, sender is not a configured peer name={}", status->name);
     return std::nullopt;
   }
   return status;
--- a/src/coordination/peers/peer_monitor.hpp
+++ b/src/coordination/peers/peer_monitor.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The latest status that each peer controller has broadcast.
+/// The latest status received from each peer controller.
 #pragma once
 
 #include <map>
@@ -12,39 +12,39 @@
 
 namespace poppystile::coordination {
 
-/// Keeps the newest status of each configured peer and answers questions about all of them.
+/// Keeps the newest status of each configured peer and evaluates them.
 ///
-/// A network partition can hold frames back and deliver them late and out of order; ages are
-/// therefore measured from the time at which a status was sent, by the wall clock of its sender.
+/// A network partition can delay frames and deliver them out of order. The age of a status is
+/// therefore measured from the time at which it was sent, by the wall clock of its sender.
 class PeerMonitor {
  public:
-  /// Both arguments must outlive the monitor.
+  /// Both references must outlive the monitor.
   PeerMonitor(const transport::Runtime& runtime, const protocol::Settings& settings)
       : runtime_(runtime), settings_(settings) {}
 
-  /// Decodes a frame. Returns nothing, and logs why, when it is malformed or when its sender is not
-  /// a configured peer.
+  /// Decodes a frame. Logs the reason and returns `nullopt` if the frame is malformed or its sender
+  /// is not a configured peer.
   std::optional<protocol::PeerStatus> decode(const std::string& frame) const;
   /// Whether a newer status of the same peer has been recorded already.
   bool is_superseded(const protocol::PeerStatus& status) const;
-  /// Whether the status was sent within `max_peer_status_age`, so that it describes the present.
+  /// Whether the status was sent less than `max_peer_status_age` ago.
   bool is_recent(const protocol::PeerStatus& status) const;
-  /// Replaces the peer's status, and the task counts if the peer is the leader. The status must not
-  /// be superseded. Returns the recorded status, valid until the next call.
+  /// Replaces the peer's status and, if the peer is the leader, all advertised task counts. The
+  /// status must not be superseded. Returns the stored status, which is valid until the next call.
   const protocol::PeerStatus& record(protocol::PeerStatus status);
 
-  /// Whether any peer has sent a recent status.
+  /// Whether the latest status of any peer is recent.
   bool hears_any_peer() const;
-  /// Whether the state service answered any peer within `state_contact_stale_after`.
+  /// Whether the state service has answered any peer in the last `state_contact_stale_after`.
   bool any_peer_reaches_state_service() const;
-  /// Counts of the job's tasks as a leader advertised them last; nothing for a job it did not name.
+  /// The job's task counts from the last status of a leader; `nullopt` if it did not list the job.
   std::optional<protocol::JobCounts> advertised_counts(const std::string& job) const;
 
  private:
   const transport::Runtime& runtime_;
   const protocol::Settings& settings_;
-  std::map<std::string, protocol::PeerStatus> latest_;            // by the peer's name
-  std::map<std::string, protocol::JobCounts> advertised_counts_;  // by job
+  std::map<std::string, protocol::PeerStatus> latest_;            // Keyed by the peer's name.
+  std::map<std::string, protocol::JobCounts> advertised_counts_;  // Keyed by the job's id.
 };
 
 }  // namespace poppystile::coordination
--- a/src/coordination/peers/worker_reachability.cpp
+++ b/src/coordination/peers/worker_reachability.cpp
@@ -9,11 +9,11 @@
 std::string_view describe(ResignReason reason) {
   switch (reason) {
     case ResignReason::all_workers_silent:
-      return "all workers fell silent at once";
+      return "all workers stopped sending heartbeats at once";
     case ResignReason::workers_reach_peers:
       return "workers reach peers but not this controller";
     case ResignReason::no_worker_reports:
-      return "no worker reaches this controller";
+      return "neither heartbeats of workers nor statuses of peers arrive";
   }
   return "";
 }
@@ -42,8 +42,8 @@
   return reason;
 }
 
-// Whether the process itself stood still during the interval that just ended, for example because
-// it was suspended; what was counted before then says nothing about the present.
+// Whether this process was paused, for example suspended, during the interval that has just ended.
+// Earlier counts then do not describe the current state.
 bool WorkerReachability::was_paused() const {
   if (ended_.size() < 2) return false;
   const Seconds interval = ended_.back().ended_at - ended_[ended_.size() - 2].ended_at;
@@ -51,9 +51,9 @@
 }
 
 // Workers that cannot reach the leader wait for `worker_response_timeout`, are redirected back to
-// it by a peer, and wait again: by then a short lease has expired. When every worker falls silent
-// at once, the leader therefore does not wait for the peers' counts. In an outage of the state
-// service nobody could take over, and the leader lease does not hold.
+// it by a peer and wait again; a short worker lease expires in that time. If the heartbeats of all
+// workers stop at once, the leader therefore does not wait for the peers' counts. It keeps its role
+// if its lease may have expired, as in an outage of the state service: no peer could take over.
 bool WorkerReachability::all_workers_silent(const LeaderObservation& leader) const {
   const Seconds silence = silent_intervals_ * constants::peer_heartbeat_interval;
   return silence >
@@ -61,7 +61,7 @@
          leader.responsive_machines >= constants::reachability_min_machines && leader.lease_holds;
 }
 
-// Returns whether any interval was dropped: only then do the rest fill the window.
+// Returns whether any interval was dropped: only then do the remaining ones span the whole window.
 bool WorkerReachability::drop_intervals_before_window(SteadyTime now) {
   bool dropped = false;
   while (!ended_.empty() && now - ended_.front().ended_at > constants::reachability_window) {
--- a/src/coordination/peers/worker_reachability.hpp
+++ b/src/coordination/peers/worker_reachability.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Whether workers reach the controller that leads, and when it should resign because they do not.
+/// Detects that workers cannot reach the leader, so that it should resign.
 #pragma once
 
 #include <cstddef>
@@ -15,45 +15,48 @@
 
 /// Why a leader should resign.
 enum class ResignReason : std::uint8_t {
-  all_workers_silent,   // every machine stopped sending heartbeats at once
-  workers_reach_peers,  // peers redirect many more heartbeats than arrive here
-  no_worker_reports     // neither workers nor peers can be heard
+  all_workers_silent,   // The heartbeats of all machines stopped at once.
+  workers_reach_peers,  // Peers redirect many more heartbeats than arrive here.
+  no_worker_reports     // Neither heartbeats nor recent statuses of peers arrive.
 };
 
-/// The reason as it stands in the log.
+/// The text that is logged for a reason.
 std::string_view describe(ResignReason reason);
 
-/// What a leader knows when an interval ends.
+/// The leader's state at the end of an interval.
 struct LeaderObservation {
-  bool is_ready = false;        // it has replayed the journal
-  bool lease_holds = false;     // its leader lease cannot have expired yet
-  bool hears_any_peer = false;  // some peer sent a status a moment ago
+  bool is_ready = false;        // The leader has replayed the journal.
+  bool lease_holds = false;     // The leader lease cannot have expired yet.
+  bool hears_any_peer = false;  // A recent status of any peer has arrived.
   std::size_t responsive_machines = 0;
 };
 
-/// Counts worker heartbeats by how they arrive, one interval per status broadcast.
+/// Counts worker heartbeats by where they arrive. An interval lasts from one status broadcast to
+/// the next.
 ///
-/// A leader that holds its lease while workers do not reach it is of no use, and the workers'
-/// leases expire: it should leave leadership to a peer that they do reach. Peers that hear this
-/// controller contradict by redirecting nothing; when no peer can be heard, silence of all machines
-/// suffices.
+/// The leases of workers that cannot reach the leader expire, so a leader should resign in favor of
+/// a peer that they do reach. It compares the heartbeats that arrive here with those that its peers
+/// redirect. While statuses of peers arrive that report no redirected heartbeats, the workers do
+/// not reach those peers either, and this comparison gives no reason to resign. If no status
+/// arrives, the absence of all heartbeats suffices.
 class WorkerReachability {
  public:
-  /// Both arguments must outlive this object.
+  /// Both references must outlive this object.
   WorkerReachability(const transport::Runtime& runtime, const protocol::Settings& settings)
       : runtime_(runtime), settings_(settings) {}
 
-  /// A heartbeat arrived while this controller leads.
+  /// Counts a heartbeat that arrived here while this controller is the leader.
   void count_direct() { ++current_.direct; }
-  /// A heartbeat arrived that this controller redirects.
+  /// Counts a heartbeat that this controller redirects.
   void count_redirected() { ++current_.redirected; }
-  /// A peer reports that it redirected `count` heartbeats.
+  /// Adds `count` heartbeats that a peer reports to have redirected.
   void count_redirected_by_peer(std::uint64_t count) { current_.redirected_by_peers += count; }
-  /// Heartbeats redirected by this controller in the current interval.
+  /// Number of heartbeats redirected by this controller in the current interval.
   std::uint64_t redirected_in_interval() const { return current_.redirected; }
 
-  /// Ends the current interval; `leader` is empty while this controller does not lead. Returns why
-  /// this controller should resign, if it should; counting then begins again.
+  /// Ends the current interval. `leader` is empty while this controller is not the leader. Returns
+  /// the reason for which this controller should resign, and then discards all counts; `nullopt` if
+  /// it should not resign.
   std::optional<ResignReason> end_interval(const std::optional<LeaderObservation>& leader);
 
  private:
@@ -72,8 +75,8 @@
   const transport::Runtime& runtime_;
   const protocol::Settings& settings_;
   Interval current_;
-  std::deque<Interval> ended_;  // of this term and within the window
-  int silent_intervals_ = 0;    // in a row, as leader, without a direct heartbeat
+  std::deque<Interval> ended_;  // Intervals of this term within `reachability_window`.
+  int silent_intervals_ = 0;    // Consecutive intervals as leader without a direct heartbeat.
 };
 
 }  // namespace poppystile::coordination
--- a/src/coordination/state/key_value_client.cpp
+++ b/src/coordination/state/key_value_client.cpp
@@ -33,7 +33,7 @@
   }
 }
 
-// A watch from a revision that the service has compacted is answered with 410.
+// The service responds with 410 to a watch that starts at a compacted revision.
 CallStatus watch_status_of(const HttpResponse& response) {
   return response.status == 410 ? CallStatus::conflict : status_of(response);
 }
@@ -51,7 +51,8 @@
   }
 }
 
-// A response handler that hands `done` the status and, if that is ok, the parsed body.
+// Returns a response handler that calls `done` with the status and, if that is `ok`, the parsed
+// body; otherwise with a default-constructed value.
 template <typename Value>
 auto parsing_handler(Value (*parse)(const std::string&),
                      std::function<void(CallStatus, Value)> done,
@@ -205,7 +206,8 @@
   send_allowed_calls();
 }
 
-// A call that must wait holds back all that are less urgent.
+// Sends waiting calls by priority, until one has to wait for the rate limit; calls of the same or a
+// lower priority then wait behind it.
 void KeyValueClient::send_allowed_calls() {
   for (auto& queue : waiting_) {
     while (!queue.empty()) {
@@ -217,7 +219,7 @@
   }
 }
 
-// Takes from both buckets, or from neither.
+// Takes the call's tokens from both buckets, or from neither. Returns whether they were taken.
 bool KeyValueClient::take_tokens(const Call& call) {
   const SteadyTime now = runtime_.now();
   TokenBucket requests_after = requests_;
--- a/src/coordination/state/shared_state_cache.cpp
+++ b/src/coordination/state/shared_state_cache.cpp
@@ -48,7 +48,7 @@
       });
 }
 
-// After a gap in the watch, keys that are not listed any more have been deleted meanwhile.
+// Jobs and a leader key that are cached but not listed were deleted during a gap in the watch.
 void SharedStateCache::apply_listing(const protocol::EntryPage& listing) {
   std::set<std::string> listed_keys;
   for (const auto& entry : listing.entries) listed_keys.insert(entry.key);
@@ -113,11 +113,11 @@
   const auto known = jobs_.find(id);
   if (known != jobs_.end() && version <= known->second.version) return;
   if (value) {
-    // A record read long ago must not bring back a job that has ended.
+    // A delayed response with an old record must not add a job again that has a final state.
     if (final_states_.contains(id)) return;
     CachedJob job{storage::decode_job(*value), version};
-    // A cancellation is permanent: an older record, which arrives after a peer advertised the
-    // cancellation or in the listing after a gap, must not undo it.
+    // A cancellation is permanent. An older record must not undo it: one can arrive after a peer
+    // has advertised the cancellation, or in the listing after a gap in the watch.
     if (cancelled_.contains(id)) job.record.cancelled = true;
     if (job.record.cancelled) cancelled_.insert(id);
     jobs_[id] = std::move(job);
@@ -129,7 +129,7 @@
   if (on_job_) on_job_(id);
 }
 
-// Final states are never changed or deleted, so versions do not matter.
+// Final states are never changed or deleted, so their versions need not be compared.
 void SharedStateCache::apply_final_state(const std::string& id, const std::optional<Json>& value) {
   if (!value) return;
   final_states_.emplace(id, storage::decode_final_state(*value));
--- a/src/coordination/state/shared_state_cache.hpp
+++ b/src/coordination/state/shared_state_cache.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// A local copy of the records that all controllers share: jobs, leader, machine types.
+/// A local copy of the records shared by all controllers: jobs, leader, fencing token, machine
+/// types.
 #pragma once
 
 #include <cstdint>
@@ -29,53 +30,55 @@
   std::uint64_t version = 0;
 };
 
-/// Lists the `shared/` keys once and follows them by a watch, on every controller.
+/// Lists the `shared/` keys once and then watches them. Every controller has one.
 ///
 /// Records arrive in any order: from the listing, the watch, and responses to single reads and
-/// writes. An older version never replaces a newer one. Cancellations and final states are
-/// permanent, whatever arrives later.
+/// writes. An older version never replaces a newer one. No later record undoes a cancellation or a
+/// final state.
 class SharedStateCache {
  public:
   /// Both references must outlive the cache.
   SharedStateCache(transport::Runtime& runtime, KeyValueClient& key_value_client);
-  /// Begins to load and follow the records. Call it once.
+  /// Starts to load and watch the records. Call it once.
   void start() { load(); }
 
   /// Whether the records have been listed once.
   bool loaded() const { return loaded_; }
-  /// All changes up to this revision have been applied.
+  /// The revision up to which all changes have been applied.
   std::uint64_t revision() const { return revision_; }
-  /// Steady time up to which all that was committed has been applied: when the newest answered
-  /// listing or watch was sent. Default-constructed until loaded.
+  /// Steady time up to which every committed change has been applied: the time at which the newest
+  /// answered listing or watch was sent. Default-constructed until loaded.
   SteadyTime fresh_as_of() const { return fresh_as_of_; }
-  /// The same by the wall clock.
+  /// The wall time that corresponds to `fresh_as_of`.
   WallTime fresh_as_of_wall() const { return fresh_as_of_wall_; }
-  /// Jobs with a record, by id.
+  /// Jobs with a record, keyed by id.
   const std::map<std::string, CachedJob>& jobs() const { return jobs_; }
-  /// The job, or null if it has no record; valid until the next change.
+  /// The job, or null if it has no record. The pointer is valid until the next change.
   const CachedJob* job(const std::string& id) const;
-  /// The job's final state; nothing if it is not known to have one.
+  /// The job's final state; `nullopt` if none has been read.
   std::optional<protocol::JobState> final_state(const std::string& id) const;
-  /// Jobs known to be cancelled and not known to have a final state.
+  /// Ids of the cancelled jobs for which no final state has been read.
   const std::set<std::string>& cancelled() const { return cancelled_; }
-  /// Who leads; nothing if nobody does.
+  /// The leader's record; `nullopt` if there is no leader.
   const std::optional<CachedLeader>& leader() const { return leader_; }
-  /// The highest fencing token, and the version of its key; 0 if there is none.
+  /// The highest fencing token that was read, and the version of its key; 0 if none is stored.
   std::uint64_t token() const { return token_; }
   std::uint64_t token_version() const { return token_version_; }
   /// The machine types, and the version of their key; 0 if none are stored.
   const std::vector<protocol::MachineType>& types() const { return types_; }
   std::uint64_t catalog_version() const { return catalog_version_; }
 
-  /// Applies what a response of the state service shows, ahead of the watch; no value: the key does
-  /// not exist. A record that cannot be decoded is logged and ignored.
+  /// Applies a record from a response of the state service before the watch delivers it. `value` is
+  /// `nullopt` if the key does not exist. A record that cannot be decoded is logged and ignored.
   void apply_response(const std::string& key, const std::optional<protocol::Json>& value,
                       std::uint64_t version);
-  /// Marks a job as cancelled because a peer's shared state shows it so; ours may be behind.
+  /// Marks a job as cancelled because a peer has advertised its cancellation, which may not have
+  /// reached this cache yet.
   void apply_cancellation(const std::string& id);
-  /// `handler` runs whenever a job's record has changed or has been deleted.
+  /// Sets the handler that runs whenever a job's record was changed or deleted.
   void on_job(std::function<void(const std::string& id)> handler) { on_job_ = std::move(handler); }
-  /// `handler` runs whenever the leader's record may have changed, once loaded.
+  /// Sets the handler that runs, once the cache is loaded, whenever the leader's record may have
+  /// changed.
   void on_leader(std::function<void()> handler) { on_leader_ = std::move(handler); }
 
  private:
@@ -98,7 +101,7 @@
   std::unordered_map<std::string, protocol::JobState> final_states_;
   std::set<std::string> cancelled_;
   std::optional<CachedLeader> leader_;
-  std::uint64_t leader_version_ = 0;  // newest version of the leader's key, also of its deletion
+  std::uint64_t leader_version_ = 0;  // Version of the leader key's last change or deletion.
   std::uint64_t token_ = 0;
   std::uint64_t token_version_ = 0;
   std::vector<protocol::MachineType> types_;
--- a/src/coordination/term_scope.hpp
+++ b/src/coordination/term_scope.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Callbacks that must not outlive the leader's term in which they were made.
+/// Callbacks that run only within the leader's term in which they were created.
 #pragma once
 
 #include <cstdint>
@@ -9,20 +9,20 @@
 
 /// Wraps callbacks so that they run only in the term in which they were wrapped.
 ///
-/// A part that works for the leader keeps one and ends it when the term does: answers and timers of
-/// an earlier term then do nothing. Must outlive the callbacks that it has wrapped, as their owner
-/// does.
+/// Each component that works for the leader has a TermScope and ends it together with the term.
+/// Responses and timers of an earlier term then have no effect. The scope must outlive every
+/// callback that it has wrapped.
 class TermScope {
  public:
   TermScope() = default;
   TermScope(const TermScope&) = delete;
   TermScope& operator=(const TermScope&) = delete;
 
-  /// Ends the present term and begins the next: callbacks wrapped so far will not run any more.
+  /// Ends the current term and begins the next one. Callbacks wrapped so far do not run any more.
   void end() { ++term_; }
 
-  /// Returns a callable that passes its arguments to `callback` in the present term, and does
-  /// nothing after it.
+  /// Returns a callable that forwards its arguments to `callback` during the current term and does
+  /// nothing afterwards.
   template <typename Callback>
   auto wrap(Callback callback) const {
     return [this, term = term_, callback = std::move(callback)](auto&&... arguments) mutable {
