--- a/tests/unit/cancellation_tracker_test.cpp
+++ b/tests/unit/cancellation_tracker_test.cpp
@@ -1,4 +1,5 @@
-// Up to when cancellations are known, and how long a leader may keep worker leases alive on that.
+// The time up to which all cancellations are known, and how long after it a leader may keep worker
+// leases alive.
 #include "coordination/peers/cancellation_tracker.hpp"
 
 #include <gtest/gtest.h>
@@ -37,7 +38,7 @@
     status.fresh_as_of_wall = caller.wall_now() - Seconds{15};
     return status;
   }
-  // The latest time that a confirmation sent now may prove.
+  // The latest time that a confirmation sent now can confirm, given the offset of the clocks.
   SteadyTime confirmed_now() const { return caller.now() - 2 * max_clock_offset; }
 
   CancellationTracker tracker{caller, settings, shared_state};
--- a/tests/unit/controller_test.cpp
+++ b/tests/unit/controller_test.cpp
@@ -1,5 +1,5 @@
-// What lets a leader keep worker leases alive in an outage of the state service: each premise of
-// docs/design.md, status by status.
+// Conditions under which a leader may keep worker leases alive in an outage of the state service
+// (docs/design.md), one test for each condition on the peers' statuses.
 #include "coordination/controller.hpp"
 
 #include <gtest/gtest.h>
@@ -29,7 +29,7 @@
 constexpr Seconds outage_at{10};
 constexpr Seconds worker_lease{10};
 constexpr Seconds cancel_timeout{35};
-// How long a leader may respond on what it knew when the outage began.
+// How long a leader may respond after the start of an outage without confirmations of its peers.
 constexpr Seconds budget = cancel_timeout - worker_lease - 3 * constants::lease_margin;
 
 class ControllerTest : public testing::Test {
@@ -53,7 +53,7 @@
     return settings;
   }
 
-  // A peer's status as it would be sent now.
+  // Returns a status that the peer would send now if it had lost the state service at `outage_at`.
   PeerStatus make_status(const std::string& name) const {
     PeerStatus status;
     status.name = name;
@@ -69,8 +69,9 @@
     peers.deliver_frame(protocol::encode_peer_status(status));
   }
 
-  // Delivers both peers' statuses each second, as `change` leaves them; a status without a name is
-  // not delivered. Returns whether a heartbeat is answered at the end.
+  // Delivers the statuses of both peers each second for the given time, modified by `change`; a
+  // status whose name `change` clears is not delivered. Returns whether a heartbeat is answered
+  // afterwards.
   bool responds_after(Seconds span, const std::function<void(PeerStatus&)>& change) {
     for (double end = queue.now() + span.count(); queue.now() < end;) {
       for (const char* name : {"stile-1", "stile-2"}) {
@@ -135,7 +136,7 @@
   }));
 }
 
-// It may have told a user of a cancellation in its earlier incarnation that no status has named.
+// The earlier incarnation may have confirmed a cancellation to a user that no status has listed.
 TEST_F(ControllerTest, RestartedPeerWithoutSharedStateDoesNotConfirmForItsEarlierIncarnation) {
   ASSERT_TRUE(responds_after(Seconds{3}, [](auto&) {}));
   const WallTime restarted_at = caller.wall_now();
--- a/tests/unit/journal_batch_test.cpp
+++ b/tests/unit/journal_batch_test.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// The journal's segments, snapshots and batches, each without a state service.
+/// The segment queue, the snapshot schedule and the batches of the journal, without a state
+/// service.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -39,7 +40,7 @@
   SegmentQueue queue;
   queue.begin_term(1);
   for (int i = 0; i < 3; ++i) queue.append(storage::MachineRemoved{"n-1"}, max_elements);
-  queue.seal(token, 12, 1);  // bytes; one entry in each
+  queue.seal(token, 12, 1);  // 12 bytes hold one entry.
   ASSERT_EQ(queue.segments().size(), 3u);
   EXPECT_EQ(queue.segments()[0].log_position, 1u);
   EXPECT_EQ(queue.segments()[1].log_position, 1u);
@@ -123,7 +124,7 @@
 
 TEST(JournalBatchTest, EntriesAreGroupedByTheBytesOfARecord) {
   const std::vector<storage::JournalEntry> entries(3, storage::MachineRemoved{"n-1"});
-  const auto groups = group_by_record_size(entries, 23);  // bytes; two entries and a comma
+  const auto groups = group_by_record_size(entries, 23);  // 23 bytes hold two entries and a comma.
   ASSERT_EQ(groups.size(), 2u);
   EXPECT_EQ(groups[0].size(), 2u);
   EXPECT_EQ(groups[1].size(), 1u);
--- a/tests/unit/journal_writer_test.cpp
+++ b/tests/unit/journal_writer_test.cpp
@@ -1,5 +1,5 @@
-// The journal in the stand-in state service: leaders come and go at any moment, and every one of
-// them finds exactly what was durable, and can go on writing.
+// The journal on a simulated state service: a leader may be replaced at any time, and each
+// successor must read every durable entry and be able to continue writing.
 #include "coordination/journal/journal_writer.hpp"
 
 #include <gtest/gtest.h>
@@ -22,7 +22,7 @@
 
 using storage::ReplayedState;
 
-// One controller, as long as it lives.
+// One process of a controller; destroying it simulates a crash.
 class LeaderProcess : public simulation::FakeHttpCaller {
  public:
   LeaderProcess(simulation::EventQueue& queue, simulation::StateService& service,
@@ -54,7 +54,7 @@
     shared_state->start();
     election->start();
   }
-  // Appends as a leader does, and keeps the ledger that its successor should find.
+  // Appends an entry and applies it to `replayed`, the state that a successor should replay.
   std::uint64_t append(const storage::JournalEntry& entry) {
     replayed.apply(storage::decode_entry(storage::Json::parse(storage::encode(entry).dump())));
     return journal->append(entry);
@@ -71,7 +71,8 @@
 
 class JournalWriterTest : public testing::Test {
  protected:
-  // The former leader ends in whatever it is doing.
+  // Destroys the current leader, whatever it is doing, and starts a new one. Returns the new leader
+  // when it has loaded the journal, or after 30 s.
   LeaderProcess& begin(double lose_answers = 0) {
     current.reset();
     current = std::make_unique<LeaderProcess>(queue, service, "stile-0", lose_answers);
@@ -79,7 +80,7 @@
     for (int i = 0; i < 3000 && !leader.loaded; ++i) queue.run_until(queue.now() + 0.01);
     return leader;
   }
-  // Runs for a while, or until the ring is full; `more` is called every 20 ms.
+  // Runs for `for_s` seconds, or until the ring is full; calls `more` every 20 ms.
   void run(LeaderProcess& leader, double for_s, const std::function<void()>& more) {
     const double until = queue.now() + for_s;
     while (queue.now() < until && leader.journal->segments_since_snapshot() <
@@ -94,12 +95,12 @@
   std::unique_ptr<LeaderProcess> current;
 };
 
-// A ring that was full at a takeover, with a segment cut before the snapshot, once blocked every
-// later leader for good: nothing started any more.
+// Guards against a ring that is full at a takeover and contains a segment sealed before the
+// snapshot: it once blocked all later leaders permanently, so that no task was started any more.
 TEST_F(JournalWriterTest, EverySuccessorReadsWhatWasDurableAndGoesOn) {
   std::mt19937_64 random(3);
   std::uint64_t made = 0;
-  std::map<std::string, std::uint64_t> durable;  // machine and session
+  std::map<std::string, std::uint64_t> durable;  // incarnation by machine
   for (int round = 0; round < 25; ++round) {
     LeaderProcess& leader = begin(round % 3 == 2 ? 0.05 : 0);
     ASSERT_TRUE(leader.loaded && leader.understood) << "round " << round;
@@ -128,9 +129,9 @@
   }
 }
 
-// A former leader's transaction that arrives after a takeover, on a key that its successor has not
-// written yet. Without the condition on the leader's key it would be carried out, and its successor
-// would have to give up.
+// A transaction of a previous leader arrives after a takeover and writes a key that its successor
+// has not written yet. Without the condition on the leader key it would be executed, and the
+// successor would have to step down.
 TEST_F(JournalWriterTest, ALateTransactionOfAFormerLeaderChangesNothing) {
   LeaderProcess& former = begin();
   former.journal_write_delay = Seconds{12};
@@ -147,8 +148,8 @@
   EXPECT_TRUE(leader.journal->is_durable(position));
 }
 
-// Transactions that were carried out are carried out again much later. Without the versions of the
-// keys in their conditions, an old head or segment would replace a newer one.
+// Executed transactions arrive a second time much later. Without conditions on the versions of
+// their keys, an old head or segment would replace a newer one.
 TEST_F(JournalWriterTest, RepeatedTransactionsChangeNothing) {
   LeaderProcess& leader = begin();
   leader.journal_duplicate_delay = Seconds{55};
@@ -172,7 +173,7 @@
     EXPECT_GE(next.replayed.machines.at(id).incarnation, incarnation);
 }
 
-// What the service will not take once its limits have fallen must not be cut to the present ones.
+// Entries must fit the current limits of the state service, which may be lowered at run time.
 TEST_F(JournalWriterTest, EntriesFollowTheLimitsOfTheSettings) {
   LeaderProcess& leader = begin();
   EXPECT_EQ(leader.journal->entry_limits().max_elements, constants::max_journal_entry_runs);
@@ -182,8 +183,8 @@
   EXPECT_EQ(leader.journal->entry_limits().max_bitmap_tasks, 3684u);
 }
 
-// Where values are small every transaction has many changes. The journal once took all that the
-// service allows, and final records came minutes late.
+// With a small value limit every transaction has many changes. The journal once used the whole
+// write rate of the state service, which delayed final records by minutes.
 TEST_F(JournalWriterTest, KeepsToItsShareOfTheChanges) {
   LeaderProcess& leader = begin();
   leader.settings.state_limits = {250, 28, 2, 8};
--- a/tests/unit/leader_election_test.cpp
+++ b/tests/unit/leader_election_test.cpp
@@ -1,4 +1,5 @@
-// Of controllers that campaign at the same moment one wins, and no two terms share a token.
+// When several controllers campaign at the same time, one of them wins, and no two terms have the
+// same token.
 #include "coordination/election/leader_election.hpp"
 
 #include <gtest/gtest.h>
@@ -43,11 +44,12 @@
       Candidate* self = candidates.back().get();
       self->election.on_elected([&winners, &elections, self] {
         const auto token = self->election.token();
-        EXPECT_TRUE(winners.emplace(token, self).second) << "token " << token << " of two terms";
+        EXPECT_TRUE(winners.emplace(token, self).second)
+            << "token " << token << " belongs to two terms";
         ++elections;
       });
     }
-    // The leader resigns over and over, and everybody campaigns.
+    // The leader resigns repeatedly, and after each resignation all controllers campaign.
     for (int term = 0; term < 10; ++term) {
       queue.run_until(queue.now() + 1);
       for (auto& candidate : candidates)
--- a/tests/unit/peer_monitor_test.cpp
+++ b/tests/unit/peer_monitor_test.cpp
@@ -1,4 +1,4 @@
-// What is kept of the peers' statuses, and which of them count.
+// Which statuses of peers are accepted, and what is derived from the latest ones.
 #include "coordination/peers/peer_monitor.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/unit/shared_state_cache_test.cpp
+++ b/tests/unit/shared_state_cache_test.cpp
@@ -1,5 +1,5 @@
-// The copy of the shared records: cancellations are permanent, and freshness counts from the time
-// at which a call was sent.
+// The cache of the shared records: cancellations are permanent, and freshness is measured from the
+// time at which an answered call was sent.
 #include "coordination/state/shared_state_cache.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/unit/shared_state_fixture.hpp
+++ b/tests/unit/shared_state_fixture.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// A shared state cache over a simulated state service, for tests of what depends on it.
+/// A shared state cache on a simulated state service, for tests of components that depend on it.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -14,7 +14,7 @@
 /// Connects a SharedStateCache to a simulated state service in simulated time.
 class SharedStateFixture : public testing::Test {
  protected:
-  /// Runs until the cache has loaded what the state service holds.
+  /// Starts the cache and runs for 1 s; fails the test if the cache has not loaded by then.
   void load_shared_state() {
     shared_state.start();
     queue.run_until(1);
--- a/tests/unit/token_bucket_test.cpp
+++ b/tests/unit/token_bucket_test.cpp
@@ -1,4 +1,4 @@
-// Rate limit: bursts, refill, share, and debt of urgent calls.
+// The rate limit: bursts, refill, share of the rate, and debt of calls that may overdraw.
 #include "coordination/state/token_bucket.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/unit/worker_reachability_test.cpp
+++ b/tests/unit/worker_reachability_test.cpp
@@ -1,4 +1,4 @@
-// When a leader resigns because its workers do not reach it.
+// Conditions under which a leader resigns because its workers do not reach it.
 #include "coordination/peers/worker_reachability.hpp"
 
 #include <gtest/gtest.h>
@@ -20,8 +20,9 @@
     return settings;
   }
 
-  // Ends intervals of one second each, with these counts in each, until the leader should resign
-  // or `intervals` have passed.
+  // Ends up to `intervals` intervals of `peer_heartbeat_interval` with the given counts in each,
+  // until the leader should resign. Returns the reason for that, or `nullopt` if it should not
+  // resign.
   std::optional<ResignReason> end_intervals(int intervals, int direct, int redirected_by_peers) {
     std::optional<ResignReason> reason;
     for (int i = 0; i < intervals && !reason; ++i) {
