--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -85,7 +85,7 @@
     observation.emplace();
     observation->is_ready = leader_.ready();
     observation->lease_holds = election_.lease_holds();
-    observation->hears_any_peer = peer_monitor_.hears_any_peer();
+    observation->has_recent_peer_status = peer_monitor_.has_recent_peer_status();
     observation->responsive_machines = leader_.responsive_machine_count();
   }
   if (const auto reason = worker_reachability_.end_interval(observation))
@@ -152,7 +152,7 @@
 // Whether the health check reports that users can send requests to this controller. It fails only
 // if this controller alone has lost the state service. In an outage of the service no controller
 // is a better choice, and one marked as unhealthy would stay so beyond the end of the outage.
-bool Controller::takes_requests() const {
+bool Controller::accepts_requests() const {
   if (!shared_state_.loaded()) return false;
   if (runtime_.now() - key_value_client_.last_contact() < constants::state_contact_stale_after)
     return true;
@@ -173,8 +173,8 @@
   // The time limit is checked again on sending, since the response may wait for the journal and the
   // process may have been paused: a response past the limit must not extend the worker's lease.
   leader_.handle_heartbeat(heartbeat, [this, respond](const HttpResponse& response) {
-    const bool is_late = response.status == 200 && runtime_.now() > may_respond_until();
-    respond(is_late ? cut_off_response() : response);
+    const bool limit_passed = response.status == 200 && runtime_.now() > may_respond_until();
+    respond(limit_passed ? cut_off_response() : response);
   });
 }
 
@@ -184,8 +184,8 @@
   worker_reachability_.count_redirected();
   election_.end_cooldown();
   const auto& leader = shared_state_.leader();
-  const bool is_other = leader && leader->record.name != settings_.name;
-  respond({421, protocol::encode_redirect(is_other ? leader->record.name : "")});
+  const bool is_other_controller = leader && leader->record.name != settings_.name;
+  respond({421, protocol::encode_redirect(is_other_controller ? leader->record.name : "")});
 }
 
 bool Controller::is_vital(const HttpRequest& request) {
@@ -196,8 +196,8 @@
   using Kind = Route::Kind;
   const Route route = protocol::parse_route(request.target);
   if (route.kind == Kind::none) return respond({404, protocol::encode_error("no such path")});
-  const bool reading = route.kind == Kind::show || route.kind == Kind::up;
-  if (request.method != (reading ? "GET" : "POST"))
+  const bool is_read = route.kind == Kind::show || route.kind == Kind::up;
+  if (request.method != (is_read ? "GET" : "POST"))
     return respond({405, protocol::encode_error("method not allowed")});
   switch (route.kind) {
     case Kind::submit:
@@ -209,7 +209,7 @@
     case Kind::heartbeat:
       return handle_heartbeat(request.body, respond);
     default:
-      return respond({takes_requests() ? 200 : 503, "{}"});
+      return respond({accepts_requests() ? 200 : 503, "{}"});
   }
 }
 
--- a/src/coordination/controller.hpp
+++ b/src/coordination/controller.hpp
@@ -57,7 +57,7 @@
   void handle_heartbeat(const std::string& body, const transport::Respond& respond);
   void redirect_heartbeat(const transport::Respond& respond);
   SteadyTime may_respond_until() const;
-  bool takes_requests() const;
+  bool accepts_requests() const;
   TaskCounts task_counts(const std::string& job) const;
 
   transport::Runtime& runtime_;
--- a/src/coordination/election/leader_election.cpp
+++ b/src/coordination/election/leader_election.cpp
@@ -56,15 +56,16 @@
 
 void LeaderElection::campaign() {
   role_ = Role::campaigning;
-  const SteadyTime began = runtime_.now();
+  const SteadyTime started_at = runtime_.now();
   key_value_client_.create_lease(constants::leader_lease_ttl,
-                                 [this, began](CallStatus status, std::uint64_t lease) {
-                                   if (status == CallStatus::ok) return claim_key(lease, began);
+                                 [this, started_at](CallStatus status, std::uint64_t lease) {
+                                   if (status == CallStatus::ok)
+                                     return claim_key(lease, started_at);
                                    end_campaign_after_pause();
                                  });
 }
 
-void LeaderElection::claim_key(std::uint64_t lease, SteadyTime campaign_began) {
+void LeaderElection::claim_key(std::uint64_t lease, SteadyTime campaign_started_at) {
   if (key_is_held_by_other()) {
     role_ = Role::follower;
     return key_value_client_.revoke_lease(lease);
@@ -72,9 +73,9 @@
   const std::uint64_t token = shared_state_.token() + 1;
   key_value_client_.compare_and_swap(
       make_claim(lease, token), RequestPriority::lease,
-      [this, lease, token, campaign_began](const TransactionResult& result) {
+      [this, lease, token, campaign_started_at](const TransactionResult& result) {
         if (result.status == CallStatus::ok)
-          return become_leader(lease, token, result.revision, campaign_began);
+          return become_leader(lease, token, result.revision, campaign_started_at);
         // A claim without a response may still succeed. The watch then shows this controller's name
         // in the key, and its next campaign replaces the key with a higher token.
         if (result.status != CallStatus::no_response) key_value_client_.revoke_lease(lease);
@@ -95,14 +96,14 @@
 }
 
 void LeaderElection::become_leader(std::uint64_t lease, std::uint64_t token, std::uint64_t version,
-                                   SteadyTime campaign_began) {
+                                   SteadyTime campaign_started_at) {
   role_ = Role::leader;
   lease_ = lease;
   token_ = token;
   version_ = version;
-  elected_at_ = campaign_began;
-  lease_confirmed_at_ = campaign_began;
-  renewal_sent_at_ = campaign_began;
+  elected_at_ = campaign_started_at;
+  lease_confirmed_at_ = campaign_started_at;
+  renewal_sent_at_ = campaign_started_at;
   spdlog::info("leading token={}", token_);
   shared_state_.apply_response(keys::token, storage::encode_token(token), version_);
   shared_state_.apply_response(keys::leader, storage::encode(storage::LeaderRecord{name_, token}),
@@ -121,16 +122,16 @@
     return;
   is_renewing_ = true;
   renewal_sent_at_ = runtime_.now();
-  key_value_client_.renew_lease(lease_,
-                                [this, sent = renewal_sent_at_, lease = lease_](CallStatus status) {
-                                  is_renewing_ = false;
-                                  if (is_leader() && lease == lease_) on_renewal(status, sent);
-                                });
+  key_value_client_.renew_lease(
+      lease_, [this, sent_at = renewal_sent_at_, lease = lease_](CallStatus status) {
+        is_renewing_ = false;
+        if (is_leader() && lease == lease_) on_renewal(status, sent_at);
+      });
 }
 
-void LeaderElection::on_renewal(CallStatus status, SteadyTime sent) {
+void LeaderElection::on_renewal(CallStatus status, SteadyTime sent_at) {
   if (status == CallStatus::ok) {
-    lease_confirmed_at_ = std::max(lease_confirmed_at_, sent);
+    lease_confirmed_at_ = std::max(lease_confirmed_at_, sent_at);
   } else if (status == CallStatus::lease_expired) {
     step_down("leader lease expired");
   } else {
@@ -155,16 +156,16 @@
   return true;
 }
 
-void LeaderElection::resign(const std::string& why, Seconds cooldown) {
+void LeaderElection::resign(const std::string& reason, Seconds cooldown) {
   cooldown_until_ = runtime_.now() + cooldown;
   key_value_client_.revoke_lease(lease_);
-  step_down(why);
+  step_down(reason);
 }
 
-void LeaderElection::step_down(const std::string& why) {
+void LeaderElection::step_down(const std::string& reason) {
   if (!is_leader()) return;
   role_ = Role::follower;
-  spdlog::info("no longer leading token={} why=\"{}\"", token_, why);
+  spdlog::info("no longer leading token={} why=\"{}\"", token_, reason);
   if (on_deposed_) on_deposed_();
 }
 
--- a/src/coordination/election/leader_election.hpp
+++ b/src/coordination/election/leader_election.hpp
@@ -45,14 +45,14 @@
   SteadyTime elected_at() const { return elected_at_; }
 
   /// Ends this controller's term without deleting the leader key, for example because another
-  /// controller holds it. Does nothing if this controller is not the leader. `why` is logged.
-  void step_down(const std::string& why);
+  /// controller holds it. Does nothing if this controller is not the leader. `reason` is logged.
+  void step_down(const std::string& reason);
   /// Steps down if the write failed on the condition `fence()`, so that this controller is no
   /// longer the leader. Returns whether that condition failed.
   bool step_down_if_deposed(const TransactionResult& result);
   /// Revokes the leader lease, so that a peer can be elected at once, and steps down. This
   /// controller does not campaign again until `cooldown` has passed. It must be the leader.
-  void resign(const std::string& why, Seconds cooldown);
+  void resign(const std::string& reason, Seconds cooldown);
   /// Ends the cooldown after a resignation: this controller may campaign again at once.
   void end_cooldown() { cooldown_until_ = {}; }
   /// Sets the handler that runs whenever this controller has become the leader.
@@ -68,13 +68,13 @@
   bool may_campaign() const;
   bool key_is_held_by_other() const;
   void campaign();
-  void claim_key(std::uint64_t lease, SteadyTime campaign_began);
+  void claim_key(std::uint64_t lease, SteadyTime campaign_started_at);
   protocol::Transaction make_claim(std::uint64_t lease, std::uint64_t token) const;
   void become_leader(std::uint64_t lease, std::uint64_t token, std::uint64_t version,
-                     SteadyTime campaign_began);
+                     SteadyTime campaign_started_at);
   void end_campaign_after_pause();
   void maybe_renew();
-  void on_renewal(CallStatus status, SteadyTime sent);
+  void on_renewal(CallStatus status, SteadyTime sent_at);
   void on_leader_key_changed();
 
   transport::Runtime& runtime_;
--- a/src/coordination/election/lease_time.hpp
+++ b/src/coordination/election/lease_time.hpp
@@ -7,11 +7,11 @@
 
 namespace poppystile::coordination {
 
-/// Returns how long to wait by the local clock until `span` has certainly passed by any other
+/// Returns how long to wait by the local clock until `duration` has certainly passed by any other
 /// machine's clock. Includes the drift between the clocks and a margin for delayed timers and
 /// packets.
-inline Seconds with_clock_drift(Seconds span) {
-  return span * (1 + constants::clock_drift) + constants::lease_margin;
+inline Seconds with_clock_drift(Seconds duration) {
+  return duration * (1 + constants::clock_drift) + constants::lease_margin;
 }
 
 }  // namespace poppystile::coordination
--- a/src/coordination/peers/cancellation_tracker.cpp
+++ b/src/coordination/peers/cancellation_tracker.cpp
@@ -32,7 +32,7 @@
   if (status.fresh_as_of_wall != WallTime{})
     peers_fresh_as_of_ = std::max(peers_fresh_as_of_, to_steady(status.fresh_as_of_wall));
   PeerConfirmation& confirmation = confirmations_[status.name];
-  if (status.incarnation != confirmation.incarnation && !speaks_for_earlier_incarnations(status))
+  if (status.incarnation != confirmation.incarnation && !covers_earlier_incarnations(status))
     return;
   confirmation.incarnation = status.incarnation;
   confirmation.confirmed_until = std::max(confirmation.confirmed_until, to_steady(status.sent_at));
@@ -42,14 +42,13 @@
 // users. All of them were committed before the restart. So its status covers them once it has
 // loaded the shared state, or once the shared state here or on another peer is newer than the
 // restart.
-bool CancellationTracker::speaks_for_earlier_incarnations(
-    const protocol::PeerStatus& status) const {
+bool CancellationTracker::covers_earlier_incarnations(const protocol::PeerStatus& status) const {
   return status.fresh_as_of_wall != WallTime{} ||
          std::max(shared_state_.fresh_as_of(), peers_fresh_as_of_) >
              to_steady(status.started_at) + 4 * settings_.max_clock_offset;
 }
 
-SteadyTime CancellationTracker::known_until() const {
+SteadyTime CancellationTracker::complete_until() const {
   return std::max({shared_state_.fresh_as_of(), peers_fresh_as_of_, confirmed_by_all_peers()});
 }
 
@@ -65,7 +64,7 @@
 }
 
 SteadyTime CancellationTracker::may_respond_until() const {
-  return known_until() + response_budget();
+  return complete_until() + response_budget();
 }
 
 SteadyTime CancellationTracker::may_respond_until_before_replay(SteadyTime elected_at) const {
--- a/src/coordination/peers/cancellation_tracker.hpp
+++ b/src/coordination/peers/cancellation_tracker.hpp
@@ -41,7 +41,7 @@
   void confirm(const protocol::PeerStatus& status);
 
   /// Steady time up to which this controller has every cancellation that was confirmed to a user.
-  SteadyTime known_until() const;
+  SteadyTime complete_until() const;
   /// Steady time until which a leader that has replayed the journal may respond to workers. Each
   /// response extends the worker's lease by its full duration.
   SteadyTime may_respond_until() const;
@@ -57,7 +57,7 @@
     SteadyTime confirmed_until;
   };
 
-  bool speaks_for_earlier_incarnations(const protocol::PeerStatus& status) const;
+  bool covers_earlier_incarnations(const protocol::PeerStatus& status) const;
   SteadyTime confirmed_by_all_peers() const;
   Seconds response_budget() const;
   SteadyTime to_steady(WallTime time) const;
--- a/src/coordination/peers/peer_monitor.cpp
+++ b/src/coordination/peers/peer_monitor.cpp
@@ -44,7 +44,7 @@
   return latest;
 }
 
-bool PeerMonitor::hears_any_peer() const {
+bool PeerMonitor::has_recent_peer_status() const {
   return std::any_of(latest_.begin(), latest_.end(),
                      [&](const auto& entry) { return is_recent(entry.second); });
 }
--- a/src/coordination/peers/peer_monitor.hpp
+++ b/src/coordination/peers/peer_monitor.hpp
@@ -34,7 +34,7 @@
   const protocol::PeerStatus& record(protocol::PeerStatus status);
 
   /// Whether the latest status of any peer is recent.
-  bool hears_any_peer() const;
+  bool has_recent_peer_status() const;
   /// Whether the state service has answered any peer in the last `state_contact_stale_after`.
   bool any_peer_reaches_state_service() const;
   /// The job's task counts from the last status of a leader; `nullopt` if it did not list the job.
--- a/src/coordination/peers/worker_reachability.hpp
+++ b/src/coordination/peers/worker_reachability.hpp
@@ -25,9 +25,9 @@
 
 /// The leader's state at the end of an interval.
 struct LeaderObservation {
-  bool is_ready = false;        // The leader has replayed the journal.
-  bool lease_holds = false;     // The leader lease cannot have expired yet.
-  bool hears_any_peer = false;  // A recent status of any peer has arrived.
+  bool is_ready = false;                // The leader has replayed the journal.
+  bool lease_holds = false;             // The leader lease cannot have expired yet.
+  bool has_recent_peer_status = false;  // A recent status of any peer has arrived.
   std::size_t responsive_machines = 0;
 };
 
@@ -46,13 +46,15 @@
       : runtime_(runtime), settings_(settings) {}
 
   /// Counts a heartbeat that arrived here while this controller is the leader.
-  void count_direct() { ++current_.direct; }
+  void count_direct() { ++current_interval_.direct; }
   /// Counts a heartbeat that this controller redirects.
-  void count_redirected() { ++current_.redirected; }
+  void count_redirected() { ++current_interval_.redirected; }
   /// Adds `count` heartbeats that a peer reports to have redirected.
-  void count_redirected_by_peer(std::uint64_t count) { current_.redirected_by_peers += count; }
+  void count_redirected_by_peer(std::uint64_t count) {
+    current_interval_.redirected_by_peers += count;
+  }
   /// Number of heartbeats redirected by this controller in the current interval.
-  std::uint64_t redirected_in_interval() const { return current_.redirected; }
+  std::uint64_t redirected_in_interval() const { return current_interval_.redirected; }
 
   /// Ends the current interval. `leader` is empty while this controller is not the leader. Returns
   /// the reason for which this controller should resign, and then discards all counts; `nullopt` if
@@ -74,9 +76,9 @@
 
   const transport::Runtime& runtime_;
   const protocol::Settings& settings_;
-  Interval current_;
-  std::deque<Interval> ended_;  // Intervals of this term within `reachability_window`.
-  int silent_intervals_ = 0;    // Consecutive intervals as leader without a direct heartbeat.
+  Interval current_interval_;
+  std::deque<Interval> ended_intervals_;  // Intervals of this term within `reachability_window`.
+  int silent_intervals_ = 0;  // Consecutive intervals as leader without a direct heartbeat.
 };
 
 }  // namespace poppystile::coordination
--- a/tests/unit/cancellation_tracker_test.cpp
+++ b/tests/unit/cancellation_tracker_test.cpp
@@ -45,21 +45,21 @@
 };
 
 TEST_F(CancellationTrackerTest, WithoutPeersKnowsWhatTheSharedStateIncludes) {
-  EXPECT_EQ(tracker.known_until(), shared_state.fresh_as_of());
+  EXPECT_EQ(tracker.complete_until(), shared_state.fresh_as_of());
 }
 
 TEST_F(CancellationTrackerTest, ConfirmationsOfAllPeersProveThePresent) {
   tracker.confirm(make_status("stile-1"));
-  EXPECT_LT(tracker.known_until(), confirmed_now() - Seconds{10});
+  EXPECT_LT(tracker.complete_until(), confirmed_now() - Seconds{10});
   tracker.confirm(make_status("stile-2"));
-  EXPECT_EQ(tracker.known_until(), confirmed_now());
+  EXPECT_EQ(tracker.complete_until(), confirmed_now());
 }
 
 TEST_F(CancellationTrackerTest, SharedStateOfOnePeerProvesWhatItIncludes) {
   PeerStatus status = make_status("stile-1");
   status.fresh_as_of_wall = caller.wall_now() - Seconds{1};
   tracker.confirm(status);
-  EXPECT_EQ(tracker.known_until(), confirmed_now() - Seconds{1});
+  EXPECT_EQ(tracker.complete_until(), confirmed_now() - Seconds{1});
 }
 
 TEST_F(CancellationTrackerTest, IncompleteStatusConfirmsNothing) {
@@ -68,7 +68,7 @@
   incomplete.fresh_as_of_wall = caller.wall_now();
   tracker.confirm(incomplete);
   tracker.confirm(make_status("stile-2"));
-  EXPECT_LT(tracker.known_until(), confirmed_now() - Seconds{10});
+  EXPECT_LT(tracker.complete_until(), confirmed_now() - Seconds{10});
 }
 
 TEST_F(CancellationTrackerTest, RestartedPeerConfirmsOnlyOnceItHasLoadedTheSharedState) {
@@ -78,10 +78,10 @@
   restarted.started_at = caller.wall_now();
   restarted.fresh_as_of_wall = {};
   tracker.confirm(restarted);
-  EXPECT_LT(tracker.known_until(), confirmed_now() - Seconds{10});
+  EXPECT_LT(tracker.complete_until(), confirmed_now() - Seconds{10});
   restarted.fresh_as_of_wall = caller.wall_now() - Seconds{15};
   tracker.confirm(restarted);
-  EXPECT_EQ(tracker.known_until(), confirmed_now());
+  EXPECT_EQ(tracker.complete_until(), confirmed_now());
 }
 
 TEST_F(CancellationTrackerTest, AppliesCancellationsThatAPeerNames) {
@@ -113,11 +113,11 @@
 TEST_F(CancellationTrackerTest, ResponsesEndEarlyEnoughForLeasesToExpireWithinTheCancelTimeout) {
   const SteadyTime lease_expires =
       tracker.may_respond_until() + settings.worker_lease * (1 + constants::clock_drift);
-  EXPECT_LT(lease_expires, tracker.known_until() + settings.cancel_timeout);
+  EXPECT_LT(lease_expires, tracker.complete_until() + settings.cancel_timeout);
 }
 
 TEST_F(CancellationTrackerTest, LeaderThatHasNotReplayedTheJournalMayRespondForAShareOfThat) {
-  const Seconds budget = tracker.may_respond_until() - tracker.known_until();
+  const Seconds budget = tracker.may_respond_until() - tracker.complete_until();
   const SteadyTime elected_at = caller.now();
   const Seconds unready_budget = tracker.may_respond_until_before_replay(elected_at) - elected_at;
   EXPECT_NEAR(unready_budget.count(), (budget * constants::unready_response_share).count(), 1e-9);
--- a/tests/unit/peer_monitor_test.cpp
+++ b/tests/unit/peer_monitor_test.cpp
@@ -52,12 +52,12 @@
 }
 
 TEST_F(PeerMonitorTest, HearsAPeerForTheMaximumAgeOfItsStatus) {
-  EXPECT_FALSE(monitor.hears_any_peer());
+  EXPECT_FALSE(monitor.has_recent_peer_status());
   monitor.record(make_status("stile-1"));
   clock.elapsed += constants::max_peer_status_age - Seconds{0.1};
-  EXPECT_TRUE(monitor.hears_any_peer());
+  EXPECT_TRUE(monitor.has_recent_peer_status());
   clock.elapsed += Seconds{0.2};
-  EXPECT_FALSE(monitor.hears_any_peer());
+  EXPECT_FALSE(monitor.has_recent_peer_status());
 }
 
 TEST_F(PeerMonitorTest, KnowsWhetherAnyPeerReachesTheStateService) {
--- a/tests/unit/worker_reachability_test.cpp
+++ b/tests/unit/worker_reachability_test.cpp
@@ -37,8 +37,10 @@
   FakeClock clock;
   protocol::Settings settings = make_settings();
   WorkerReachability reachability{clock, settings};
-  std::optional<LeaderObservation> leader = LeaderObservation{
-      .is_ready = true, .lease_holds = true, .hears_any_peer = true, .responsive_machines = 10};
+  std::optional<LeaderObservation> leader = LeaderObservation{.is_ready = true,
+                                                              .lease_holds = true,
+                                                              .has_recent_peer_status = true,
+                                                              .responsive_machines = 10};
 };
 
 TEST_F(WorkerReachabilityTest, LeaderThatHearsItsWorkersStays) {
@@ -81,7 +83,7 @@
 
 TEST_F(WorkerReachabilityTest, ResignsWhenNeitherWorkersNorPeersAreHeard) {
   leader->lease_holds = false;
-  leader->hears_any_peer = false;
+  leader->has_recent_peer_status = false;
   EXPECT_EQ(end_intervals(30, 0, 0), ResignReason::no_worker_reports);
 }
 
