--- a/src/coordination/journal/journal_reader.cpp
+++ b/src/coordination/journal/journal_reader.cpp
@@ -15,13 +15,13 @@
 namespace {
 
 void add_versions(KeyVersions& versions, const protocol::EntryPage& page) {
-  for (const auto& each : page.entries) versions[each.key] = each.version;
+  for (const auto& entry : page.entries) versions[entry.key] = entry.version;
 }
 
 // Throws DecodeError if the journal cannot be decoded.
 LoadedJournal decode_journal(const protocol::EntryPage& page) {
   storage::JournalReplay replay;
-  for (const auto& each : page.entries) replay.add(each.key, each.value);
+  for (const auto& entry : page.entries) replay.add(entry.key, entry.value);
   LoadedJournal journal;
   journal.state = replay.replay();
   journal.is_empty = replay.empty();
--- a/src/coordination/journal/journal_record.cpp
+++ b/src/coordination/journal/journal_record.cpp
@@ -20,18 +20,18 @@
 
 std::vector<std::vector<std::string>> group_by_record_size(
     const std::vector<storage::JournalEntry>& entries, std::size_t max_bytes) {
-  std::vector<std::vector<std::string>> out;
+  std::vector<std::vector<std::string>> groups;
   std::size_t bytes = 0;
-  for (const storage::JournalEntry& each : entries) {
-    std::string text = storage::encode(each).dump();
-    if (out.empty() || bytes + text.size() > max_bytes) {
-      out.emplace_back();
+  for (const storage::JournalEntry& entry : entries) {
+    std::string text = storage::encode(entry).dump();
+    if (groups.empty() || bytes + text.size() > max_bytes) {
+      groups.emplace_back();
       bytes = 0;
     }
     bytes += text.size() + 1;  // One byte for the comma that follows.
-    out.back().push_back(std::move(text));
+    groups.back().push_back(std::move(text));
   }
-  return out;
+  return groups;
 }
 
 void JournalBatch::clear() {
--- a/src/coordination/journal/journal_writer.cpp
+++ b/src/coordination/journal/journal_writer.cpp
@@ -64,22 +64,22 @@
   }
   protocol::Transaction transaction;
   transaction.conditions.push_back(election_.fence());
-  std::vector<std::string> removed;
+  std::vector<std::string> removed_keys;
   for (const auto& [key, version] : versions_) {
-    if (removed.size() == settings_.state_limits.max_changes()) break;
-    removed.push_back(key);
+    if (removed_keys.size() == settings_.state_limits.max_changes()) break;
+    removed_keys.push_back(key);
     transaction.changes.push_back({key, {}, 0});
   }
   key_value_client_.compare_and_swap(
       transaction, RequestPriority::journal,
-      scope_.wrap([this, removed, done](const TransactionResult& result) {
+      scope_.wrap([this, removed_keys, done](const TransactionResult& result) {
         if (result.status == CallStatus::conflict)
           return election_.step_down("a conditional write failed on the leader key");
         if (result.status != CallStatus::ok) {
           runtime_.after(constants::state_retry_pause, scope_.wrap([this, done] { reset(done); }));
           return;
         }
-        for (const auto& key : removed) versions_.erase(key);
+        for (const auto& key : removed_keys) versions_.erase(key);
         reset(done);
       }));
 }
@@ -155,10 +155,11 @@
 void JournalWriter::send() {
   protocol::Transaction transaction;
   transaction.conditions.push_back(election_.fence());
-  for (const auto& each : batch_.records()) {
-    const auto version = versions_.find(each.key);
-    transaction.conditions.push_back({each.key, version == versions_.end() ? 0 : version->second});
-    transaction.changes.push_back({each.key, each.value, 0});
+  for (const auto& record : batch_.records()) {
+    const auto version = versions_.find(record.key);
+    transaction.conditions.push_back(
+        {record.key, version == versions_.end() ? 0 : version->second});
+    transaction.changes.push_back({record.key, record.value, 0});
   }
   write_in_flight_ = true;
   const auto changes = static_cast<double>(batch_.records().size());
@@ -202,10 +203,10 @@
 }
 
 void JournalWriter::commit_batch(std::uint64_t revision) {
-  for (const auto& each : batch_.records()) {
-    versions_[each.key] = revision;
-    committed_position_ = std::max(committed_position_, each.log_position);
-    if (each.key == keys::journal_head) snapshots_.on_head_committed();
+  for (const auto& record : batch_.records()) {
+    versions_[record.key] = revision;
+    committed_position_ = std::max(committed_position_, record.log_position);
+    if (record.key == keys::journal_head) snapshots_.on_head_committed();
   }
   batch_.clear();
   if (on_committed_) on_committed_();
--- a/src/coordination/state/key_value_client.cpp
+++ b/src/coordination/state/key_value_client.cpp
@@ -89,19 +89,19 @@
     : runtime_(runtime),
       http_(http),
       endpoint_(settings.state),
-      requests_(settings.state_limits.rps, runtime.now()),
-      writes_(settings.state_limits.write_rps, runtime.now()) {
+      request_bucket_(settings.state_limits.rps, runtime.now()),
+      write_bucket_(settings.state_limits.write_rps, runtime.now()) {
   set_share(constants::follower_rate_share);
 }
 
 void KeyValueClient::set_share(double share) {
-  requests_.set_share(share);
-  writes_.set_share(share);
+  request_bucket_.set_share(share);
+  write_bucket_.set_share(share);
 }
 
 bool KeyValueClient::is_overloaded() const {
-  const auto requests_per_second = static_cast<std::size_t>(requests_.per_second());
-  return waiting_[static_cast<std::size_t>(RequestPriority::user)].size() >
+  const auto requests_per_second = static_cast<std::size_t>(request_bucket_.per_second());
+  return waiting_calls_[static_cast<std::size_t>(RequestPriority::user)].size() >
          std::max(constants::min_queued_user_requests, requests_per_second);
 }
 
@@ -131,7 +131,7 @@
   std::string prefix;
   RequestPriority priority;
   std::function<void(CallStatus, EntryPage)> done;
-  EntryPage all = {};
+  EntryPage combined_page = {};
 };
 
 void KeyValueClient::list_all(const std::string& prefix, RequestPriority priority,
@@ -140,16 +140,16 @@
 }
 
 void KeyValueClient::list_next_page(const std::shared_ptr<Listing>& listing) {
-  const auto& read = listing->all.entries;
-  const std::string after = read.empty() ? "" : read.back().key;
+  const auto& entries_read = listing->combined_page.entries;
+  const std::string after = entries_read.empty() ? "" : entries_read.back().key;
   list(listing->prefix, after, listing->priority,
        [this, listing](CallStatus status, EntryPage page) {
          if (status != CallStatus::ok) return listing->done(status, {});
-         EntryPage& all = listing->all;
-         if (all.revision == 0) all.revision = page.revision;
-         for (auto& entry : page.entries) all.entries.push_back(std::move(entry));
-         if (page.more && !all.entries.empty()) return list_next_page(listing);
-         listing->done(CallStatus::ok, std::move(all));
+         EntryPage& combined_page = listing->combined_page;
+         if (combined_page.revision == 0) combined_page.revision = page.revision;
+         for (auto& entry : page.entries) combined_page.entries.push_back(std::move(entry));
+         if (page.more && !combined_page.entries.empty()) return list_next_page(listing);
+         listing->done(CallStatus::ok, std::move(combined_page));
        });
 }
 
@@ -202,14 +202,14 @@
 void KeyValueClient::enqueue(RequestPriority priority, Call call) {
   if (priority == RequestPriority::lease) return send(std::move(call));
   call.may_overdraw = priority == RequestPriority::journal || priority == RequestPriority::user;
-  waiting_[static_cast<std::size_t>(priority)].push_back(std::move(call));
+  waiting_calls_[static_cast<std::size_t>(priority)].push_back(std::move(call));
   send_allowed_calls();
 }
 
 // Sends waiting calls by priority, until one has to wait for the rate limit; calls of the same or a
 // lower priority then wait behind it.
 void KeyValueClient::send_allowed_calls() {
-  for (auto& queue : waiting_) {
+  for (auto& queue : waiting_calls_) {
     while (!queue.empty()) {
       if (!take_tokens(queue.front())) return send_later(queue.front());
       Call call = std::move(queue.front());
@@ -222,17 +222,17 @@
 // Takes the call's tokens from both buckets, or from neither. Returns whether they were taken.
 bool KeyValueClient::take_tokens(const Call& call) {
   const SteadyTime now = runtime_.now();
-  TokenBucket requests_after = requests_;
-  if (!requests_after.take(1, call.may_overdraw, now)) return false;
-  if (!writes_.take(call.writes, call.may_overdraw, now)) return false;
-  requests_ = requests_after;
+  TokenBucket request_bucket = request_bucket_;
+  if (!request_bucket.take(1, call.may_overdraw, now)) return false;
+  if (!write_bucket_.take(call.writes, call.may_overdraw, now)) return false;
+  request_bucket_ = request_bucket;
   return true;
 }
 
 void KeyValueClient::send_later(const Call& call) {
   if (std::exchange(is_timer_set_, true)) return;
-  const Seconds wait =
-      std::max(requests_.time_until_available(1), writes_.time_until_available(call.writes));
+  const Seconds wait = std::max(request_bucket_.time_until_available(1),
+                                write_bucket_.time_until_available(call.writes));
   runtime_.after(wait, [this] {
     is_timer_set_ = false;
     send_allowed_calls();
@@ -240,16 +240,16 @@
 }
 
 void KeyValueClient::send(Call call) {
-  const SteadyTime sent = runtime_.now();
-  const WallTime sent_wall = runtime_.wall_now();
+  const SteadyTime sent_at = runtime_.now();
+  const WallTime sent_at_wall = runtime_.wall_now();
   http_.call(endpoint_, std::move(call.request), call.timeout,
-             [this, sent, sent_wall,
+             [this, sent_at, sent_at_wall,
               on_response = std::move(call.on_response)](const HttpResponse& response) {
                if (response.status != 0 && response.status != 503) {
-                 last_contact_ = std::max(last_contact_, sent);
-                 last_contact_wall_ = std::max(last_contact_wall_, sent_wall);
+                 last_contact_ = std::max(last_contact_, sent_at);
+                 last_contact_wall_ = std::max(last_contact_wall_, sent_at_wall);
                }
-               answered_request_sent_at_ = sent;
+               answered_request_sent_at_ = sent_at;
                on_response(response);
              });
 }
--- a/src/coordination/state/key_value_client.hpp
+++ b/src/coordination/state/key_value_client.hpp
@@ -120,9 +120,9 @@
   transport::Runtime& runtime_;
   transport::HttpCaller& http_;
   transport::Endpoint endpoint_;
-  TokenBucket requests_;
-  TokenBucket writes_;
-  std::array<std::deque<Call>, priority_count> waiting_;
+  TokenBucket request_bucket_;
+  TokenBucket write_bucket_;
+  std::array<std::deque<Call>, priority_count> waiting_calls_;
   bool is_timer_set_ = false;  // A timer is set that sends waiting calls.
   SteadyTime last_contact_;
   WallTime last_contact_wall_;
--- a/src/coordination/state/shared_state_cache.cpp
+++ b/src/coordination/state/shared_state_cache.cpp
@@ -28,11 +28,11 @@
 // --- listing and watch ---
 
 void SharedStateCache::load() {
-  const SteadyTime sent = runtime_.now();
-  const WallTime sent_wall = runtime_.wall_now();
+  const SteadyTime sent_at = runtime_.now();
+  const WallTime sent_at_wall = runtime_.wall_now();
   key_value_client_.list_all(
       keys::shared, RequestPriority::user,
-      [this, sent, sent_wall](CallStatus status, const protocol::EntryPage& listing) {
+      [this, sent_at, sent_at_wall](CallStatus status, const protocol::EntryPage& listing) {
         if (status != CallStatus::ok) {
           runtime_.after(constants::state_retry_pause, [this] { load(); });
           return;
@@ -42,9 +42,9 @@
           spdlog::info("shared state loaded jobs={} final={}", jobs_.size(), final_states_.size());
         loaded_ = true;
         revision_ = std::max(revision_, listing.revision);
-        note_fresh(sent, sent_wall);
+        update_freshness(sent_at, sent_at_wall);
         if (on_leader_) on_leader_();
-        follow(listing.revision);
+        watch_changes(listing.revision);
       });
 }
 
@@ -62,27 +62,27 @@
     apply_response(keys::leader, std::nullopt, listing.revision);
 }
 
-void SharedStateCache::follow(std::uint64_t after) {
-  const SteadyTime sent = runtime_.now();
-  const WallTime sent_wall = runtime_.wall_now();
+void SharedStateCache::watch_changes(std::uint64_t after) {
+  const SteadyTime sent_at = runtime_.now();
+  const WallTime sent_at_wall = runtime_.wall_now();
   key_value_client_.watch(
       keys::shared, after,
-      [this, after, sent, sent_wall](CallStatus status, const protocol::WatchPage& page) {
+      [this, after, sent_at, sent_at_wall](CallStatus status, const protocol::WatchPage& page) {
         if (status == CallStatus::conflict) return load();
         if (status != CallStatus::ok) {
-          runtime_.after(constants::state_retry_pause, [this, after] { follow(after); });
+          runtime_.after(constants::state_retry_pause, [this, after] { watch_changes(after); });
           return;
         }
         for (const auto& event : page.events) apply_response(event.key, event.value, event.version);
         revision_ = std::max(revision_, page.revision);
-        note_fresh(sent, sent_wall);
-        follow(std::max(after, page.revision));
+        update_freshness(sent_at, sent_at_wall);
+        watch_changes(std::max(after, page.revision));
       });
 }
 
-void SharedStateCache::note_fresh(SteadyTime at, WallTime wall_at) {
-  fresh_as_of_ = std::max(fresh_as_of_, at);
-  fresh_as_of_wall_ = std::max(fresh_as_of_wall_, wall_at);
+void SharedStateCache::update_freshness(SteadyTime as_of, WallTime as_of_wall) {
+  fresh_as_of_ = std::max(fresh_as_of_, as_of);
+  fresh_as_of_wall_ = std::max(fresh_as_of_wall_, as_of_wall);
 }
 
 // --- records ---
@@ -110,8 +110,8 @@
 
 void SharedStateCache::apply_job(const std::string& id, const std::optional<Json>& value,
                                  std::uint64_t version) {
-  const auto known = jobs_.find(id);
-  if (known != jobs_.end() && version <= known->second.version) return;
+  const auto cached = jobs_.find(id);
+  if (cached != jobs_.end() && version <= cached->second.version) return;
   if (value) {
     // A delayed response with an old record must not add a job again that has a final state.
     if (final_states_.contains(id)) return;
@@ -121,8 +121,8 @@
     if (cancelled_.contains(id)) job.record.cancelled = true;
     if (job.record.cancelled) cancelled_.insert(id);
     jobs_[id] = std::move(job);
-  } else if (known != jobs_.end()) {
-    jobs_.erase(known);
+  } else if (cached != jobs_.end()) {
+    jobs_.erase(cached);
   } else {
     return;
   }
@@ -146,9 +146,9 @@
 
 void SharedStateCache::apply_cancellation(const std::string& id) {
   if (final_states_.contains(id) || !cancelled_.insert(id).second) return;
-  const auto known = jobs_.find(id);
-  if (known == jobs_.end()) return;
-  known->second.record.cancelled = true;
+  const auto cached = jobs_.find(id);
+  if (cached == jobs_.end()) return;
+  cached->second.record.cancelled = true;
   if (on_job_) on_job_(id);
 }
 
--- a/src/coordination/state/shared_state_cache.hpp
+++ b/src/coordination/state/shared_state_cache.hpp
@@ -84,8 +84,8 @@
  private:
   void load();
   void apply_listing(const protocol::EntryPage& listing);
-  void follow(std::uint64_t after);
-  void note_fresh(SteadyTime at, WallTime wall_at);
+  void watch_changes(std::uint64_t after);
+  void update_freshness(SteadyTime as_of, WallTime as_of_wall);
   void apply_job(const std::string& id, const std::optional<protocol::Json>& value,
                  std::uint64_t version);
   void apply_final_state(const std::string& id, const std::optional<protocol::Json>& value);
