--- a/tests/unit/cancellation_tracker_test.cpp
+++ b/tests/unit/cancellation_tracker_test.cpp
@@ -39,7 +39,7 @@
     return status;
   }
   // The latest time that a confirmation sent now can confirm, given the offset of the clocks.
-  SteadyTime confirmed_now() const { return caller.now() - 2 * max_clock_offset; }
+  SteadyTime latest_confirmable() const { return caller.now() - 2 * max_clock_offset; }
 
   CancellationTracker tracker{caller, settings, shared_state};
 };
@@ -50,16 +50,16 @@
 
 TEST_F(CancellationTrackerTest, ConfirmationsOfAllPeersProveThePresent) {
   tracker.confirm(make_status("stile-1"));
-  EXPECT_LT(tracker.complete_until(), confirmed_now() - Seconds{10});
+  EXPECT_LT(tracker.complete_until(), latest_confirmable() - Seconds{10});
   tracker.confirm(make_status("stile-2"));
-  EXPECT_EQ(tracker.complete_until(), confirmed_now());
+  EXPECT_EQ(tracker.complete_until(), latest_confirmable());
 }
 
 TEST_F(CancellationTrackerTest, SharedStateOfOnePeerProvesWhatItIncludes) {
   PeerStatus status = make_status("stile-1");
   status.fresh_as_of_wall = caller.wall_now() - Seconds{1};
   tracker.confirm(status);
-  EXPECT_EQ(tracker.complete_until(), confirmed_now() - Seconds{1});
+  EXPECT_EQ(tracker.complete_until(), latest_confirmable() - Seconds{1});
 }
 
 TEST_F(CancellationTrackerTest, IncompleteStatusConfirmsNothing) {
@@ -68,7 +68,7 @@
   incomplete.fresh_as_of_wall = caller.wall_now();
   tracker.confirm(incomplete);
   tracker.confirm(make_status("stile-2"));
-  EXPECT_LT(tracker.complete_until(), confirmed_now() - Seconds{10});
+  EXPECT_LT(tracker.complete_until(), latest_confirmable() - Seconds{10});
 }
 
 TEST_F(CancellationTrackerTest, RestartedPeerConfirmsOnlyOnceItHasLoadedTheSharedState) {
@@ -78,10 +78,10 @@
   restarted.started_at = caller.wall_now();
   restarted.fresh_as_of_wall = {};
   tracker.confirm(restarted);
-  EXPECT_LT(tracker.complete_until(), confirmed_now() - Seconds{10});
+  EXPECT_LT(tracker.complete_until(), latest_confirmable() - Seconds{10});
   restarted.fresh_as_of_wall = caller.wall_now() - Seconds{15};
   tracker.confirm(restarted);
-  EXPECT_EQ(tracker.complete_until(), confirmed_now());
+  EXPECT_EQ(tracker.complete_until(), latest_confirmable());
 }
 
 TEST_F(CancellationTrackerTest, AppliesCancellationsThatAPeerNames) {
@@ -117,10 +117,11 @@
 }
 
 TEST_F(CancellationTrackerTest, LeaderThatHasNotReplayedTheJournalMayRespondForAShareOfThat) {
-  const Seconds budget = tracker.may_respond_until() - tracker.complete_until();
+  const Seconds response_budget = tracker.may_respond_until() - tracker.complete_until();
   const SteadyTime elected_at = caller.now();
   const Seconds unready_budget = tracker.may_respond_until_before_replay(elected_at) - elected_at;
-  EXPECT_NEAR(unready_budget.count(), (budget * constants::unready_response_share).count(), 1e-9);
+  EXPECT_NEAR(unready_budget.count(), (response_budget * constants::unready_response_share).count(),
+              1e-9);
 }
 
 }  // namespace
--- a/tests/unit/controller_test.cpp
+++ b/tests/unit/controller_test.cpp
@@ -30,7 +30,7 @@
 constexpr Seconds worker_lease{10};
 constexpr Seconds cancel_timeout{35};
 // How long a leader may respond after the start of an outage without confirmations of its peers.
-constexpr Seconds budget = cancel_timeout - worker_lease - 3 * constants::lease_margin;
+constexpr Seconds response_budget = cancel_timeout - worker_lease - 3 * constants::lease_margin;
 
 class ControllerTest : public testing::Test {
  protected:
@@ -72,8 +72,8 @@
   // Delivers the statuses of both peers each second for the given time, modified by `change`; a
   // status whose name `change` clears is not delivered. Returns whether a heartbeat is answered
   // afterwards.
-  bool responds_after(Seconds span, const std::function<void(PeerStatus&)>& change) {
-    for (double end = queue.now() + span.count(); queue.now() < end;) {
+  bool responds_after(Seconds duration, const std::function<void(PeerStatus&)>& change) {
+    for (double end = queue.now() + duration.count(); queue.now() < end;) {
       for (const char* name : {"stile-1", "stile-2"}) {
         PeerStatus status = make_status(name);
         change(status);
@@ -92,7 +92,7 @@
                             {"pieces", Json::array()}};
     HttpResponse response;
     controller.handle({"POST", "/agent/beat", heartbeat.dump()},
-                      [&](HttpResponse answer) { response = std::move(answer); });
+                      [&](HttpResponse received) { response = std::move(received); });
     queue.run_until(queue.now() + 1);
     return response.status == 200;
   }
@@ -108,7 +108,8 @@
 };
 
 TEST_F(ControllerTest, IsolatedLeaderStopsRespondingBeforeLeasesOutlastTheCancelTimeout) {
-  EXPECT_TRUE(responds_after(budget - Seconds{3}, [](auto& status) { status.name.clear(); }));
+  EXPECT_TRUE(
+      responds_after(response_budget - Seconds{3}, [](auto& status) { status.name.clear(); }));
   queue.run_until(queue.now() + 4);
   EXPECT_FALSE(responds());
 }
@@ -118,21 +119,21 @@
 }
 
 TEST_F(ControllerTest, OneMissingPeerPreventsResponses) {
-  EXPECT_FALSE(responds_after(budget + Seconds{1}, [](auto& status) {
+  EXPECT_FALSE(responds_after(response_budget + Seconds{1}, [](auto& status) {
     if (status.name == "stile-2") status.name.clear();
   }));
 }
 
 TEST_F(ControllerTest, IncompleteListOfCancellationsConfirmsNothing) {
-  EXPECT_FALSE(responds_after(budget + Seconds{1}, [](auto& status) {
+  EXPECT_FALSE(responds_after(response_budget + Seconds{1}, [](auto& status) {
     if (status.name == "stile-2") status.all_cancelled = false;
   }));
 }
 
 TEST_F(ControllerTest, StatusesCountFromTheTimeAtWhichTheyWereSent) {
-  const WallTime frozen_at = caller.wall_now();
-  EXPECT_FALSE(responds_after(budget + Seconds{1}, [&](auto& status) {
-    status.sent_at = std::min(status.sent_at, frozen_at);
+  const WallTime last_sent_at = caller.wall_now();
+  EXPECT_FALSE(responds_after(response_budget + Seconds{1}, [&](auto& status) {
+    status.sent_at = std::min(status.sent_at, last_sent_at);
   }));
 }
 
@@ -140,7 +141,7 @@
 TEST_F(ControllerTest, RestartedPeerWithoutSharedStateDoesNotConfirmForItsEarlierIncarnation) {
   ASSERT_TRUE(responds_after(Seconds{3}, [](auto&) {}));
   const WallTime restarted_at = caller.wall_now();
-  EXPECT_FALSE(responds_after(budget + Seconds{1}, [&](auto& status) {
+  EXPECT_FALSE(responds_after(response_budget + Seconds{1}, [&](auto& status) {
     if (status.name != "stile-2") return;
     status.incarnation = 8;
     status.started_at = restarted_at;
--- a/tests/unit/journal_writer_test.cpp
+++ b/tests/unit/journal_writer_test.cpp
@@ -26,30 +26,30 @@
 class LeaderProcess : public simulation::FakeHttpCaller {
  public:
   LeaderProcess(simulation::EventQueue& queue, simulation::StateService& service,
-                const std::string& name, double lose_answers)
-      : FakeHttpCaller(queue, service, lose_answers) {
+                const std::string& name, double lost_response_share)
+      : FakeHttpCaller(queue, service, lost_response_share) {
     settings.name = name;
     settings.state_limits.rps = 250;
     settings.state_limits.write_rps = 40;
     settings.state_limits.txn_ops = 32;
-    store.emplace(*this, *this, settings);
-    shared_state.emplace(*this, *store);
-    election.emplace(*this, *store, *shared_state, name, queue.random());
-    journal.emplace(*this, *store, *election, settings);
+    key_value_client.emplace(*this, *this, settings);
+    shared_state.emplace(*this, *key_value_client);
+    election.emplace(*this, *key_value_client, *shared_state, name, queue.random());
+    journal.emplace(*this, *key_value_client, *election, settings);
     election->on_elected([this] {
       journal->load([this](std::optional<ReplayedState> found) {
-        understood = found.has_value();
+        readable = found.has_value();
         if (found) replayed = *found;
         loaded = true;
       });
     });
     election->on_deposed([this] { deposed = true; });
     journal->on_snapshot([this] {
-      std::vector<storage::JournalEntry> out;
+      std::vector<storage::JournalEntry> entries;
       for (const auto& [id, machine] : replayed.machines)
-        out.emplace_back(
+        entries.emplace_back(
             storage::MachineRegistered{id, "g", "a", false, machine.incarnation, wall_at(0)});
-      return out;
+      return entries;
     });
     shared_state->start();
     election->start();
@@ -61,31 +61,31 @@
   }
 
   protocol::Settings settings;
-  std::optional<KeyValueClient> store;
+  std::optional<KeyValueClient> key_value_client;
   std::optional<SharedStateCache> shared_state;
   std::optional<LeaderElection> election;
   std::optional<JournalWriter> journal;
   ReplayedState replayed;
-  bool loaded = false, understood = false, deposed = false;
+  bool loaded = false, readable = false, deposed = false;
 };
 
 class JournalWriterTest : public testing::Test {
  protected:
   // Destroys the current leader, whatever it is doing, and starts a new one. Returns the new leader
   // when it has loaded the journal, or after 30 s.
-  LeaderProcess& begin(double lose_answers = 0) {
+  LeaderProcess& begin(double lost_response_share = 0) {
     current.reset();
-    current = std::make_unique<LeaderProcess>(queue, service, "stile-0", lose_answers);
+    current = std::make_unique<LeaderProcess>(queue, service, "stile-0", lost_response_share);
     LeaderProcess& leader = *current;
     for (int i = 0; i < 3000 && !leader.loaded; ++i) queue.run_until(queue.now() + 0.01);
     return leader;
   }
-  // Runs for `for_s` seconds, or until the ring is full; calls `more` every 20 ms.
-  void run(LeaderProcess& leader, double for_s, const std::function<void()>& more) {
-    const double until = queue.now() + for_s;
+  // Runs for `duration_s` seconds, or until the ring is full; calls `on_step` every 20 ms.
+  void run(LeaderProcess& leader, double duration_s, const std::function<void()>& on_step) {
+    const double until = queue.now() + duration_s;
     while (queue.now() < until && leader.journal->segments_since_snapshot() <
                                       leader.journal->max_segments_since_snapshot()) {
-      more();
+      on_step();
       leader.journal->pump();
       queue.run_until(queue.now() + 0.02);
     }
@@ -99,20 +99,20 @@
 // snapshot: it once blocked all later leaders permanently, so that no task was started any more.
 TEST_F(JournalWriterTest, EverySuccessorReadsWhatWasDurableAndGoesOn) {
   std::mt19937_64 random(3);
-  std::uint64_t made = 0;
+  std::uint64_t append_count = 0;
   std::map<std::string, std::uint64_t> durable;  // incarnation by machine
   for (int round = 0; round < 25; ++round) {
     LeaderProcess& leader = begin(round % 3 == 2 ? 0.05 : 0);
-    ASSERT_TRUE(leader.loaded && leader.understood) << "round " << round;
+    ASSERT_TRUE(leader.loaded && leader.readable) << "round " << round;
     for (const auto& [id, incarnation] : durable) {
       ASSERT_TRUE(leader.replayed.machines.contains(id)) << "round " << round;
       EXPECT_GE(leader.replayed.machines.at(id).incarnation, incarnation);
     }
     std::vector<std::tuple<std::uint64_t, std::string, std::uint64_t>> positions;
-    const double for_s = 1 + static_cast<double>(random() % 60);
-    run(leader, for_s, [&] {
+    const double duration_s = 1 + static_cast<double>(random() % 60);
+    run(leader, duration_s, [&] {
       const std::string id = "n-" + std::to_string(random() % 40);
-      const std::uint64_t incarnation = ++made;
+      const std::uint64_t incarnation = ++append_count;
       if (!leader.replayed.machines.contains(id))
         leader.append(storage::MachineRegistered{id, "g", "a", false, 0, wall_at(0)});
       positions.emplace_back(leader.append(storage::IncarnationStarted{id, incarnation}), id,
@@ -133,10 +133,10 @@
 // has not written yet. Without the condition on the leader key it would be executed, and the
 // successor would have to step down.
 TEST_F(JournalWriterTest, ALateTransactionOfAFormerLeaderChangesNothing) {
-  LeaderProcess& former = begin();
-  former.journal_write_delay = Seconds{12};
-  former.append(storage::MachineRegistered{"n-1", "g", "a", false, 0, wall_at(0)});
-  former.journal->pump();
+  LeaderProcess& previous_leader = begin();
+  previous_leader.journal_write_delay = Seconds{12};
+  previous_leader.append(storage::MachineRegistered{"n-1", "g", "a", false, 0, wall_at(0)});
+  previous_leader.journal->pump();
   LeaderProcess& leader = begin();
   ASSERT_TRUE(leader.loaded);
   EXPECT_FALSE(leader.replayed.machines.contains("n-1"));
@@ -153,24 +153,24 @@
 TEST_F(JournalWriterTest, RepeatedTransactionsChangeNothing) {
   LeaderProcess& leader = begin();
   leader.journal_duplicate_delay = Seconds{55};
-  std::uint64_t made = 0;
+  std::uint64_t append_count = 0;
   std::map<std::string, std::uint64_t> durable;
   std::deque<std::tuple<std::uint64_t, std::string, std::uint64_t>> positions;
   run(leader, 200, [&] {
-    const std::string id = "n-" + std::to_string(made % 40);
+    const std::string id = "n-" + std::to_string(append_count % 40);
     if (!leader.replayed.machines.contains(id))
       leader.append(storage::MachineRegistered{id, "g", "a", false, 0, wall_at(0)});
-    const auto position = leader.append(storage::IncarnationStarted{id, ++made});
-    positions.emplace_back(position, id, made);
+    const auto position = leader.append(storage::IncarnationStarted{id, ++append_count});
+    positions.emplace_back(position, id, append_count);
     for (; !positions.empty() && leader.journal->is_durable(std::get<0>(positions.front()));
          positions.pop_front())
       durable[std::get<1>(positions.front())] = std::get<2>(positions.front());
   });
   EXPECT_FALSE(leader.deposed);
-  LeaderProcess& next = begin();
-  ASSERT_TRUE(next.loaded && next.understood);
+  LeaderProcess& successor = begin();
+  ASSERT_TRUE(successor.loaded && successor.readable);
   for (const auto& [id, incarnation] : durable)
-    EXPECT_GE(next.replayed.machines.at(id).incarnation, incarnation);
+    EXPECT_GE(successor.replayed.machines.at(id).incarnation, incarnation);
 }
 
 // Entries must fit the current limits of the state service, which may be lowered at run time.
@@ -188,20 +188,20 @@
 TEST_F(JournalWriterTest, KeepsToItsShareOfTheChanges) {
   LeaderProcess& leader = begin();
   leader.settings.state_limits = {250, 28, 2, 8};
-  leader.store->set_share(1);
+  leader.key_value_client->set_share(1);
   const std::uint64_t before = service.changes();
-  std::uint64_t made = 0;
-  constexpr double for_s = 30;
-  run(leader, for_s, [&] {
+  std::uint64_t append_count = 0;
+  constexpr double duration_s = 30;
+  run(leader, duration_s, [&] {
     for (int i = 0; i < 20; ++i) {
-      ++made;
-      const std::string id = "n-" + std::to_string(made % 500);
-      leader.append(storage::MachineRegistered{id, "g", "a", false, made, wall_at(0)});
+      ++append_count;
+      const std::string id = "n-" + std::to_string(append_count % 500);
+      leader.append(storage::MachineRegistered{id, "g", "a", false, append_count, wall_at(0)});
     }
   });
   const auto changes = static_cast<double>(service.changes() - before);
   EXPECT_GT(changes, 100);
-  EXPECT_LE(changes, constants::journal_change_share * 28 * for_s + 8);
+  EXPECT_LE(changes, constants::journal_change_share * 28 * duration_s + 8);
 }
 
 TEST_F(JournalWriterTest, AnUnknownFormIsNotReadAsEmpty) {
@@ -210,7 +210,7 @@
       [](auto) {});
   LeaderProcess& leader = begin();
   ASSERT_TRUE(leader.loaded);
-  EXPECT_FALSE(leader.understood);
+  EXPECT_FALSE(leader.readable);
   bool was_reset = false;
   leader.journal->reset([&] { was_reset = true; });
   queue.run_until(queue.now() + 5);
@@ -224,7 +224,7 @@
       [](auto) {});
   LeaderProcess& leader = begin();
   ASSERT_TRUE(leader.loaded);
-  EXPECT_FALSE(leader.understood);
+  EXPECT_FALSE(leader.readable);
 }
 
 }  // namespace
--- a/tests/unit/peer_monitor_test.cpp
+++ b/tests/unit/peer_monitor_test.cpp
@@ -41,14 +41,14 @@
 }
 
 TEST_F(PeerMonitorTest, OlderStatusOfTheSamePeerIsSuperseded) {
-  const PeerStatus older = make_status("stile-1");
+  const PeerStatus older_status = make_status("stile-1");
   clock.elapsed += Seconds{1};
-  EXPECT_FALSE(monitor.is_superseded(older));
+  EXPECT_FALSE(monitor.is_superseded(older_status));
   monitor.record(make_status("stile-1"));
-  EXPECT_TRUE(monitor.is_superseded(older));
-  PeerStatus of_another_peer = older;
-  of_another_peer.name = "stile-2";
-  EXPECT_FALSE(monitor.is_superseded(of_another_peer));
+  EXPECT_TRUE(monitor.is_superseded(older_status));
+  PeerStatus other_peer_status = older_status;
+  other_peer_status.name = "stile-2";
+  EXPECT_FALSE(monitor.is_superseded(other_peer_status));
 }
 
 TEST_F(PeerMonitorTest, HearsAPeerForTheMaximumAgeOfItsStatus) {
@@ -65,24 +65,24 @@
   status.state_contact_at = clock.wall_now() - constants::state_contact_stale_after;
   monitor.record(status);
   EXPECT_FALSE(monitor.any_peer_reaches_state_service());
-  PeerStatus in_contact = make_status("stile-2");
-  in_contact.state_contact_at = clock.wall_now() - Seconds{1};
-  monitor.record(in_contact);
+  PeerStatus recent_contact_status = make_status("stile-2");
+  recent_contact_status.state_contact_at = clock.wall_now() - Seconds{1};
+  monitor.record(recent_contact_status);
   EXPECT_TRUE(monitor.any_peer_reaches_state_service());
 }
 
 TEST_F(PeerMonitorTest, KeepsTheTaskCountsOfTheLeadersNewestStatus) {
-  PeerStatus of_leader = make_status("stile-1");
-  of_leader.is_leader = true;
-  of_leader.counts = {{"req-1", 4, 2}};
-  monitor.record(of_leader);
+  PeerStatus leader_status = make_status("stile-1");
+  leader_status.is_leader = true;
+  leader_status.counts = {{"req-1", 4, 2}};
+  monitor.record(leader_status);
   monitor.record(make_status("stile-2"));
   const auto counts = monitor.advertised_counts("req-1");
   ASSERT_TRUE(counts.has_value());
   EXPECT_EQ(counts->done, 4u);
   EXPECT_EQ(counts->running, 2u);
-  of_leader.counts = {{"req-2", 1, 0}};
-  monitor.record(of_leader);
+  leader_status.counts = {{"req-2", 1, 0}};
+  monitor.record(leader_status);
   EXPECT_FALSE(monitor.advertised_counts("req-1").has_value());
 }
 
--- a/tests/unit/term_scope_test.cpp
+++ b/tests/unit/term_scope_test.cpp
@@ -9,10 +9,10 @@
 namespace {
 
 TEST(TermScopeTest, RunsCallbackInTheTermInWhichItWasWrapped) {
-  TermScope term;
+  TermScope scope;
   std::string received;
   const std::function<void(std::string)> callback =
-      term.wrap([&](std::string text) { received = std::move(text); });
+      scope.wrap([&](std::string text) { received = std::move(text); });
   callback("first");
   EXPECT_EQ(received, "first");
   callback("second");
@@ -20,11 +20,11 @@
 }
 
 TEST(TermScopeTest, DropsCallbacksOfEarlierTerms) {
-  TermScope term;
+  TermScope scope;
   int calls = 0;
-  const std::function<void()> earlier = term.wrap([&] { ++calls; });
-  term.end();
-  const std::function<void()> later = term.wrap([&] { ++calls; });
+  const std::function<void()> earlier = scope.wrap([&] { ++calls; });
+  scope.end();
+  const std::function<void()> later = scope.wrap([&] { ++calls; });
   earlier();
   EXPECT_EQ(calls, 0);
   later();
@@ -32,11 +32,11 @@
 }
 
 TEST(TermScopeTest, ACallbackMayEndItsOwnTerm) {
-  TermScope term;
+  TermScope scope;
   int calls = 0;
-  const std::function<void()> callback = term.wrap([&] {
+  const std::function<void()> callback = scope.wrap([&] {
     ++calls;
-    term.end();
+    scope.end();
   });
   callback();
   callback();
