--- a/tests/unit/cancellation_tracker_test.cpp
+++ b/tests/unit/cancellation_tracker_test.cpp
@@ -44,18 +44,18 @@
   CancellationTracker tracker{caller, settings, shared_state};
 };
 
-TEST_F(CancellationTrackerTest, WithoutPeersKnowsWhatTheSharedStateIncludes) {
+TEST_F(CancellationTrackerTest, WithoutConfirmationsIsCompleteUpToTheFreshnessOfTheSharedState) {
   EXPECT_EQ(tracker.complete_until(), shared_state.fresh_as_of());
 }
 
-TEST_F(CancellationTrackerTest, ConfirmationsOfAllPeersProveThePresent) {
+TEST_F(CancellationTrackerTest, ConfirmationsOfAllPeersMakeItCompleteUpToNow) {
   tracker.confirm(make_status("stile-1"));
   EXPECT_LT(tracker.complete_until(), latest_confirmable() - Seconds{10});
   tracker.confirm(make_status("stile-2"));
   EXPECT_EQ(tracker.complete_until(), latest_confirmable());
 }
 
-TEST_F(CancellationTrackerTest, SharedStateOfOnePeerProvesWhatItIncludes) {
+TEST_F(CancellationTrackerTest, SharedStateOfOnePeerMakesItCompleteUpToItsFreshness) {
   PeerStatus status = make_status("stile-1");
   status.fresh_as_of_wall = caller.wall_now() - Seconds{1};
   tracker.confirm(status);
@@ -84,14 +84,14 @@
   EXPECT_EQ(tracker.complete_until(), latest_confirmable());
 }
 
-TEST_F(CancellationTrackerTest, AppliesCancellationsThatAPeerNames) {
+TEST_F(CancellationTrackerTest, AppliesCancellationsListedByAPeer) {
   PeerStatus status = make_status("stile-1");
   status.cancelled = {"req-1"};
   tracker.apply(status);
   EXPECT_TRUE(shared_state.cancelled().contains("req-1"));
 }
 
-TEST_F(CancellationTrackerTest, AdvertisesAllCancelledJobsAndHowFreshTheyAre) {
+TEST_F(CancellationTrackerTest, AdvertisesAllCancelledJobsAndTheirFreshness) {
   shared_state.apply_cancellation("req-1");
   shared_state.apply_cancellation("req-2");
   PeerStatus status;
@@ -116,7 +116,7 @@
   EXPECT_LT(lease_expires, tracker.complete_until() + settings.cancel_timeout);
 }
 
-TEST_F(CancellationTrackerTest, LeaderThatHasNotReplayedTheJournalMayRespondForAShareOfThat) {
+TEST_F(CancellationTrackerTest, LeaderThatHasNotReplayedTheJournalMayRespondForAShareOfTheBudget) {
   const Seconds response_budget = tracker.may_respond_until() - tracker.complete_until();
   const SteadyTime elected_at = caller.now();
   const Seconds unready_budget = tracker.may_respond_until_before_replay(elected_at) - elected_at;
--- a/tests/unit/controller_test.cpp
+++ b/tests/unit/controller_test.cpp
@@ -107,7 +107,7 @@
   std::uint64_t tick = 0;
 };
 
-TEST_F(ControllerTest, IsolatedLeaderStopsRespondingBeforeLeasesOutlastTheCancelTimeout) {
+TEST_F(ControllerTest, IsolatedLeaderStopsRespondingSoThatLeasesExpireWithinTheCancelTimeout) {
   EXPECT_TRUE(
       responds_after(response_budget - Seconds{3}, [](auto& status) { status.name.clear(); }));
   queue.run_until(queue.now() + 4);
@@ -118,7 +118,7 @@
   EXPECT_TRUE(responds_after(4 * cancel_timeout, [](auto&) {}));
 }
 
-TEST_F(ControllerTest, OneMissingPeerPreventsResponses) {
+TEST_F(ControllerTest, MissingConfirmationsOfOnePeerPreventResponses) {
   EXPECT_FALSE(responds_after(response_budget + Seconds{1}, [](auto& status) {
     if (status.name == "stile-2") status.name.clear();
   }));
@@ -130,7 +130,7 @@
   }));
 }
 
-TEST_F(ControllerTest, StatusesCountFromTheTimeAtWhichTheyWereSent) {
+TEST_F(ControllerTest, StatusesConfirmOnlyUpToTheTimeAtWhichTheyWereSent) {
   const WallTime last_sent_at = caller.wall_now();
   EXPECT_FALSE(responds_after(response_budget + Seconds{1}, [&](auto& status) {
     status.sent_at = std::min(status.sent_at, last_sent_at);
@@ -173,7 +173,7 @@
   }));
 }
 
-TEST_F(ControllerTest, StepsDownWhenAPeerKnowsAHigherToken) {
+TEST_F(ControllerTest, StepsDownWhenAPeerReportsAHigherToken) {
   PeerStatus status = make_status("stile-1");
   ++status.token;
   deliver(status);
--- a/tests/unit/journal_batch_test.cpp
+++ b/tests/unit/journal_batch_test.cpp
@@ -19,7 +19,7 @@
 constexpr std::size_t max_elements = 64;
 constexpr std::size_t max_bytes = 7000;
 
-TEST(SegmentQueueTest, SealsWhatWasAppendedIntoNumberedSegments) {
+TEST(SegmentQueueTest, SealsAppendedEntriesIntoNumberedSegments) {
   SegmentQueue queue;
   queue.begin_term(8);
   EXPECT_EQ(queue.append(storage::MachineRemoved{"n-1"}, max_elements), 1u);
@@ -36,7 +36,7 @@
   EXPECT_EQ(queue.next_number(), 9u);
 }
 
-TEST(SegmentQueueTest, OnlyTheLastOfSeveralSegmentsHoldsEverything) {
+TEST(SegmentQueueTest, OnlyTheLastSealedSegmentGetsTheAppendedPosition) {
   SegmentQueue queue;
   queue.begin_term(1);
   for (int i = 0; i < 3; ++i) queue.append(storage::MachineRemoved{"n-1"}, max_elements);
@@ -47,7 +47,7 @@
   EXPECT_EQ(queue.segments()[2].log_position, 3u);
 }
 
-TEST(SegmentQueueTest, SealsNothingWhenNothingWasAppended) {
+TEST(SegmentQueueTest, SealsNoSegmentWithoutEntries) {
   SegmentQueue queue;
   queue.begin_term(1);
   EXPECT_EQ(queue.seal(token, max_bytes, 0), 0u);
@@ -66,7 +66,7 @@
   EXPECT_TRUE(snapshots.is_due(9));
 }
 
-TEST(SnapshotScheduleTest, TheHeadFollowsEveryChunk) {
+TEST(SnapshotScheduleTest, HeadIsDueOnlyAfterEveryChunk) {
   SnapshotSchedule snapshots;
   snapshots.begin_term(JournalHead{3, 2, 8}, constants::min_journal_bytes_before_snapshot);
   EXPECT_FALSE(snapshots.is_head_due());
@@ -86,7 +86,7 @@
   EXPECT_FALSE(snapshots.is_head_due());
 }
 
-TEST(SnapshotScheduleTest, AnAbandonedSnapshotLeavesTheFormerOne) {
+TEST(SnapshotScheduleTest, AbandoningASnapshotKeepsTheCommittedOne) {
   SnapshotSchedule snapshots;
   snapshots.begin_term(JournalHead{3, 2, 8}, 0);
   snapshots.start({{R"(["g","n-1"])"}}, 20, token);
@@ -96,7 +96,7 @@
   EXPECT_EQ(snapshots.segments_since(20), 12u);
 }
 
-TEST(SnapshotScheduleTest, LargeSnapshotsMayHaveMoreSegmentsAndChunksAtATime) {
+TEST(SnapshotScheduleTest, LargeSnapshotsAllowMoreSegmentsAndMoreChunksPerWrite) {
   SnapshotSchedule snapshots;
   snapshots.begin_term({}, 0);
   EXPECT_EQ(snapshots.max_segments_since(), constants::min_open_segments);
@@ -106,7 +106,7 @@
   EXPECT_EQ(snapshots.max_chunks_per_write(), 4u);
 }
 
-TEST(JournalBatchTest, KeepsToTheTransactionsLimits) {
+TEST(JournalBatchTest, StaysWithinTheTransactionLimits) {
   JournalBatch batch;
   JournalRecord large;
   large.value = std::string(constants::max_transaction_bytes + 1, ' ');
@@ -122,7 +122,7 @@
   EXPECT_TRUE(batch.fits(large, 2));
 }
 
-TEST(JournalBatchTest, EntriesAreGroupedByTheBytesOfARecord) {
+TEST(JournalBatchTest, GroupsEntriesByRecordSize) {
   const std::vector<storage::JournalEntry> entries(3, storage::MachineRemoved{"n-1"});
   const auto groups = group_by_record_size(entries, 23);  // 23 bytes hold two entries and a comma.
   ASSERT_EQ(groups.size(), 2u);
--- a/tests/unit/journal_writer_test.cpp
+++ b/tests/unit/journal_writer_test.cpp
@@ -97,7 +97,7 @@
 
 // Guards against a ring that is full at a takeover and contains a segment sealed before the
 // snapshot: it once blocked all later leaders permanently, so that no task was started any more.
-TEST_F(JournalWriterTest, EverySuccessorReadsWhatWasDurableAndGoesOn) {
+TEST_F(JournalWriterTest, EverySuccessorReadsDurableEntriesAndContinuesWriting) {
   std::mt19937_64 random(3);
   std::uint64_t append_count = 0;
   std::map<std::string, std::uint64_t> durable;  // incarnation by machine
@@ -132,7 +132,7 @@
 // A transaction of a previous leader arrives after a takeover and writes a key that its successor
 // has not written yet. Without the condition on the leader key it would be executed, and the
 // successor would have to step down.
-TEST_F(JournalWriterTest, ALateTransactionOfAFormerLeaderChangesNothing) {
+TEST_F(JournalWriterTest, DelayedTransactionOfAPreviousLeaderChangesNothing) {
   LeaderProcess& previous_leader = begin();
   previous_leader.journal_write_delay = Seconds{12};
   previous_leader.append(storage::MachineRegistered{"n-1", "g", "a", false, 0, wall_at(0)});
@@ -185,7 +185,7 @@
 
 // With a small value limit every transaction has many changes. The journal once used the whole
 // write rate of the state service, which delayed final records by minutes.
-TEST_F(JournalWriterTest, KeepsToItsShareOfTheChanges) {
+TEST_F(JournalWriterTest, StaysWithinItsShareOfTheWriteRate) {
   LeaderProcess& leader = begin();
   leader.settings.state_limits = {250, 28, 2, 8};
   leader.key_value_client->set_share(1);
@@ -204,7 +204,7 @@
   EXPECT_LE(changes, constants::journal_change_share * 28 * duration_s + 8);
 }
 
-TEST_F(JournalWriterTest, AnUnknownFormIsNotReadAsEmpty) {
+TEST_F(JournalWriterTest, UnknownRecordFormatIsNotReadAsAnEmptyJournal) {
   service.handle(
       {"POST", "/multi", R"({"when":[],"apply":[{"write":"journal/log/1","data":{"v":9}}]})"},
       [](auto) {});
@@ -218,7 +218,7 @@
   EXPECT_FALSE(service.has("journal/log/1"));
 }
 
-TEST_F(JournalWriterTest, RecordsOfTheFirstVersionAreRefusedAloud) {
+TEST_F(JournalWriterTest, RecordsOfTheFirstStorageFormatMakeTheJournalUnreadable) {
   service.handle(
       {"POST", "/multi", R"({"when":[],"apply":[{"write":"machine/n-1","data":{"v":1}}]})"},
       [](auto) {});
--- a/tests/unit/peer_monitor_test.cpp
+++ b/tests/unit/peer_monitor_test.cpp
@@ -51,7 +51,7 @@
   EXPECT_FALSE(monitor.is_superseded(other_peer_status));
 }
 
-TEST_F(PeerMonitorTest, HearsAPeerForTheMaximumAgeOfItsStatus) {
+TEST_F(PeerMonitorTest, PeerStatusIsRecentUpToItsMaximumAge) {
   EXPECT_FALSE(monitor.has_recent_peer_status());
   monitor.record(make_status("stile-1"));
   clock.elapsed += constants::max_peer_status_age - Seconds{0.1};
@@ -60,7 +60,7 @@
   EXPECT_FALSE(monitor.has_recent_peer_status());
 }
 
-TEST_F(PeerMonitorTest, KnowsWhetherAnyPeerReachesTheStateService) {
+TEST_F(PeerMonitorTest, ReportsWhetherAnyPeerReachesTheStateService) {
   PeerStatus status = make_status("stile-1");
   status.state_contact_at = clock.wall_now() - constants::state_contact_stale_after;
   monitor.record(status);
--- a/tests/unit/shared_state_cache_test.cpp
+++ b/tests/unit/shared_state_cache_test.cpp
@@ -36,7 +36,7 @@
   EXPECT_TRUE(shared_state.job("req-1")->record.cancelled);
 }
 
-TEST_F(SharedStateCacheTest, CancellationAppliesToAJobThatIsNotKnownYet) {
+TEST_F(SharedStateCacheTest, CancellationAppliesToAJobThatIsNotCachedYet) {
   shared_state.apply_cancellation("req-2");
   write(storage::job_key("req-2"), record("req-2"));
   EXPECT_TRUE(shared_state.job("req-2")->record.cancelled);
--- a/tests/unit/worker_reachability_test.cpp
+++ b/tests/unit/worker_reachability_test.cpp
@@ -43,7 +43,7 @@
                                                               .responsive_machines = 10};
 };
 
-TEST_F(WorkerReachabilityTest, LeaderThatHearsItsWorkersStays) {
+TEST_F(WorkerReachabilityTest, LeaderThatReceivesHeartbeatsDoesNotResign) {
   EXPECT_EQ(end_intervals(30, 5, 0), std::nullopt);
 }
 
@@ -61,7 +61,7 @@
   EXPECT_EQ(end_intervals(intervals_in_window, 1, 50), std::nullopt);
 }
 
-TEST_F(WorkerReachabilityTest, LeaderThatHasNotReplayedTheJournalStays) {
+TEST_F(WorkerReachabilityTest, LeaderThatHasNotReplayedTheJournalDoesNotResign) {
   leader->is_ready = false;
   EXPECT_EQ(end_intervals(30, 1, 50), std::nullopt);
 }
@@ -71,7 +71,7 @@
   EXPECT_EQ(end_intervals(4, 0, 0), ResignReason::all_workers_silent);
 }
 
-TEST_F(WorkerReachabilityTest, SilenceOfFewMachinesMeansNothing) {
+TEST_F(WorkerReachabilityTest, SilenceOfTooFewMachinesDoesNotMakeItResign) {
   leader->responsive_machines = constants::reachability_min_machines - 1;
   EXPECT_EQ(end_intervals(30, 0, 0), std::nullopt);
 }
@@ -81,7 +81,7 @@
   EXPECT_EQ(end_intervals(30, 0, 0), std::nullopt);
 }
 
-TEST_F(WorkerReachabilityTest, ResignsWhenNeitherWorkersNorPeersAreHeard) {
+TEST_F(WorkerReachabilityTest, ResignsWhenNeitherHeartbeatsNorPeerStatusesArrive) {
   leader->lease_holds = false;
   leader->has_recent_peer_status = false;
   EXPECT_EQ(end_intervals(30, 0, 0), ResignReason::no_worker_reports);
