--- a/src/coordination/journal/journal_record.cpp
+++ b/src/coordination/journal/journal_record.cpp
@@ -12,7 +12,7 @@
   return {
       std::clamp<std::size_t>(max_bytes / constants::journal_run_bytes, 1,
                               constants::max_journal_entry_runs),
-      // Whole hex digits of four tasks each.
+      // A multiple of four, since a hex digit holds four tasks.
       std::clamp<std::size_t>(4 * static_cast<std::size_t>(hex_digits), 4,
                               constants::max_bitmap_chunk_tasks),
   };
@@ -20,18 +20,18 @@
 
 std::vector<std::vector<std::string>> group_by_record_size(
     const std::vector<storage::JournalEntry>& entries, std::size_t max_bytes) {
-  std::vector<std::vector<std::string>> out;
+  std::vector<std::vector<std::string>> groups;
   std::size_t bytes = 0;
-  for (const storage::JournalEntry& each : entries) {
-    std::string text = storage::encode(each).dump();
-    if (out.empty() || bytes + text.size() > max_bytes) {
-      out.emplace_back();
+  for (const storage::JournalEntry& entry : entries) {
+    std::string text = storage::encode(entry).dump();
+    if (groups.empty() || bytes + text.size() > max_bytes) {
+      groups.emplace_back();
       bytes = 0;
     }
-    bytes += text.size() + 1;  // with the comma behind it
-    out.back().push_back(std::move(text));
+    bytes += text.size() + 1;  // One byte for the comma that follows.
+    groups.back().push_back(std::move(text));
   }
-  return out;
+  return groups;
 }
 
 void JournalBatch::clear() {
--- a/tests/unit/controller_test.cpp
+++ b/tests/unit/controller_test.cpp
@@ -1,5 +1,5 @@
-// What lets a leader keep worker leases alive in an outage of the state service: each premise of
-// docs/design.md, status by status.
+// Conditions under which a leader may keep worker leases alive in an outage of the state service
+// (docs/design.md), one test for each condition on the peers' statuses.
 #include "coordination/controller.hpp"
 
 #include <gtest/gtest.h>
@@ -29,8 +29,8 @@
 constexpr Seconds outage_at{10};
 constexpr Seconds worker_lease{10};
 constexpr Seconds cancel_timeout{35};
-// How long a leader may respond on what it knew when the outage began.
-constexpr Seconds budget = cancel_timeout - worker_lease - 3 * constants::lease_margin;
+// How long a leader may respond after the start of an outage without confirmations of its peers.
+constexpr Seconds response_budget = cancel_timeout - worker_lease - 3 * constants::lease_margin;
 
 class ControllerTest : public testing::Test {
  protected:
@@ -53,7 +53,7 @@
     return settings;
   }
 
-  // A peer's status as it would be sent now.
+  // Returns a status that the peer would send now if it had lost the state service at `outage_at`.
   PeerStatus make_status(const std::string& name) const {
     PeerStatus status;
     status.name = name;
@@ -69,10 +69,11 @@
     peers.deliver_frame(protocol::encode_peer_status(status));
   }
 
-  // Delivers both peers' statuses each second, as `change` leaves them; a status without a name is
-  // not delivered. Returns whether a heartbeat is answered at the end.
-  bool responds_after(Seconds span, const std::function<void(PeerStatus&)>& change) {
-    for (double end = queue.now() + span.count(); queue.now() < end;) {
+  // Delivers the statuses of both peers each second for the given time, modified by `change`; a
+  // status whose name `change` clears is not delivered. Returns whether a heartbeat is answered
+  // afterwards.
+  bool responds_after(Seconds duration, const std::function<void(PeerStatus&)>& change) {
+    for (double end = queue.now() + duration.count(); queue.now() < end;) {
       for (const char* name : {"stile-1", "stile-2"}) {
         PeerStatus status = make_status(name);
         change(status);
@@ -91,7 +92,7 @@
                             {"pieces", Json::array()}};
     HttpResponse response;
     controller.handle({"POST", "/agent/beat", heartbeat.dump()},
-                      [&](HttpResponse answer) { response = std::move(answer); });
+                      [&](HttpResponse received) { response = std::move(received); });
     queue.run_until(queue.now() + 1);
     return response.status == 200;
   }
@@ -106,8 +107,9 @@
   std::uint64_t tick = 0;
 };
 
-TEST_F(ControllerTest, IsolatedLeaderStopsRespondingBeforeLeasesOutlastTheCancelTimeout) {
-  EXPECT_TRUE(responds_after(budget - Seconds{3}, [](auto& status) { status.name.clear(); }));
+TEST_F(ControllerTest, IsolatedLeaderStopsRespondingSoThatLeasesExpireWithinTheCancelTimeout) {
+  EXPECT_TRUE(
+      responds_after(response_budget - Seconds{3}, [](auto& status) { status.name.clear(); }));
   queue.run_until(queue.now() + 4);
   EXPECT_FALSE(responds());
 }
@@ -116,30 +118,30 @@
   EXPECT_TRUE(responds_after(4 * cancel_timeout, [](auto&) {}));
 }
 
-TEST_F(ControllerTest, OneMissingPeerPreventsResponses) {
-  EXPECT_FALSE(responds_after(budget + Seconds{1}, [](auto& status) {
+TEST_F(ControllerTest, MissingConfirmationsOfOnePeerPreventResponses) {
+  EXPECT_FALSE(responds_after(response_budget + Seconds{1}, [](auto& status) {
     if (status.name == "stile-2") status.name.clear();
   }));
 }
 
 TEST_F(ControllerTest, IncompleteListOfCancellationsConfirmsNothing) {
-  EXPECT_FALSE(responds_after(budget + Seconds{1}, [](auto& status) {
+  EXPECT_FALSE(responds_after(response_budget + Seconds{1}, [](auto& status) {
     if (status.name == "stile-2") status.all_cancelled = false;
   }));
 }
 
-TEST_F(ControllerTest, StatusesCountFromTheTimeAtWhichTheyWereSent) {
-  const WallTime frozen_at = caller.wall_now();
-  EXPECT_FALSE(responds_after(budget + Seconds{1}, [&](auto& status) {
-    status.sent_at = std::min(status.sent_at, frozen_at);
+TEST_F(ControllerTest, StatusesConfirmOnlyUpToTheTimeAtWhichTheyWereSent) {
+  const WallTime last_sent_at = caller.wall_now();
+  EXPECT_FALSE(responds_after(response_budget + Seconds{1}, [&](auto& status) {
+    status.sent_at = std::min(status.sent_at, last_sent_at);
   }));
 }
 
-// It may have told a user of a cancellation in its earlier incarnation that no status has named.
+// The earlier incarnation may have confirmed a cancellation to a user that no status has listed.
 TEST_F(ControllerTest, RestartedPeerWithoutSharedStateDoesNotConfirmForItsEarlierIncarnation) {
   ASSERT_TRUE(responds_after(Seconds{3}, [](auto&) {}));
   const WallTime restarted_at = caller.wall_now();
-  EXPECT_FALSE(responds_after(budget + Seconds{1}, [&](auto& status) {
+  EXPECT_FALSE(responds_after(response_budget + Seconds{1}, [&](auto& status) {
     if (status.name != "stile-2") return;
     status.incarnation = 8;
     status.started_at = restarted_at;
@@ -171,7 +173,7 @@
   }));
 }
 
-TEST_F(ControllerTest, StepsDownWhenAPeerKnowsAHigherToken) {
+TEST_F(ControllerTest, StepsDownWhenAPeerReportsAHigherToken) {
   PeerStatus status = make_status("stile-1");
   ++status.token;
   deliver(status);
--- a/tests/unit/worker_reachability_test.cpp
+++ b/tests/unit/worker_reachability_test.cpp
@@ -1,4 +1,4 @@
-// When a leader resigns because its workers do not reach it.
+// Conditions under which a leader resigns because its workers do not reach it.
 #include "coordination/peers/worker_reachability.hpp"
 
 #include <gtest/gtest.h>
@@ -20,8 +20,9 @@
     return settings;
   }
 
-  // Ends intervals of one second each, with these counts in each, until the leader should resign
-  // or `intervals` have passed.
+  // Ends up to `intervals` intervals of `peer_heartbeat_interval` with the given counts in each,
+  // until the leader should resign. Returns the reason for that, or `nullopt` if it should not
+  // resign.
   std::optional<ResignReason> end_intervals(int intervals, int direct, int redirected_by_peers) {
     std::optional<ResignReason> reason;
     for (int i = 0; i < intervals && !reason; ++i) {
@@ -36,11 +37,13 @@
   FakeClock clock;
   protocol::Settings settings = make_settings();
   WorkerReachability reachability{clock, settings};
-  std::optional<LeaderObservation> leader = LeaderObservation{
-      .is_ready = true, .lease_holds = true, .hears_any_peer = true, .responsive_machines = 10};
+  std::optional<LeaderObservation> leader = LeaderObservation{.is_ready = true,
+                                                              .lease_holds = true,
+                                                              .has_recent_peer_status = true,
+                                                              .responsive_machines = 10};
 };
 
-TEST_F(WorkerReachabilityTest, LeaderThatHearsItsWorkersStays) {
+TEST_F(WorkerReachabilityTest, LeaderThatReceivesHeartbeatsDoesNotResign) {
   EXPECT_EQ(end_intervals(30, 5, 0), std::nullopt);
 }
 
@@ -58,7 +61,7 @@
   EXPECT_EQ(end_intervals(intervals_in_window, 1, 50), std::nullopt);
 }
 
-TEST_F(WorkerReachabilityTest, LeaderThatHasNotReplayedTheJournalStays) {
+TEST_F(WorkerReachabilityTest, LeaderThatHasNotReplayedTheJournalDoesNotResign) {
   leader->is_ready = false;
   EXPECT_EQ(end_intervals(30, 1, 50), std::nullopt);
 }
@@ -68,7 +71,7 @@
   EXPECT_EQ(end_intervals(4, 0, 0), ResignReason::all_workers_silent);
 }
 
-TEST_F(WorkerReachabilityTest, SilenceOfFewMachinesMeansNothing) {
+TEST_F(WorkerReachabilityTest, SilenceOfTooFewMachinesDoesNotMakeItResign) {
   leader->responsive_machines = constants::reachability_min_machines - 1;
   EXPECT_EQ(end_intervals(30, 0, 0), std::nullopt);
 }
@@ -78,9 +81,9 @@
   EXPECT_EQ(end_intervals(30, 0, 0), std::nullopt);
 }
 
-TEST_F(WorkerReachabilityTest, ResignsWhenNeitherWorkersNorPeersAreHeard) {
+TEST_F(WorkerReachabilityTest, ResignsWhenNeitherHeartbeatsNorPeerStatusesArrive) {
   leader->lease_holds = false;
-  leader->hears_any_peer = false;
+  leader->has_recent_peer_status = false;
   EXPECT_EQ(end_intervals(30, 0, 0), ResignReason::no_worker_reports);
 }
 
