--- a/src/constants.hpp
+++ b/src/constants.hpp
@@ -1,5 +1,7 @@
-// Every constant of the service, with its unit and the reason for its value.
-// Nothing here describes one deployment: what depends on a site is derived from its settings.
+// Every constant of the service, with its unit and, where it is not evident, the reason for its
+// value. No value is specific to one deployment; values that depend on a site come from its
+// settings. "PROTOCOL" is the specification of the interfaces between users, workers, the cloud,
+// the state service and the controllers.
 #pragma once
 
 #include <chrono>
@@ -11,326 +13,351 @@
 namespace poppystile::constants {
 
 // --- transport ---
-// bytes; PROTOCOL bounds a request body at 64 KiB.
+// PROTOCOL limits a request body to 64 KiB.
 inline constexpr std::size_t max_request_body_bytes = 64 * 1024;
-// bytes; responses of the state service may hold 512 KiB of entries, watches have no bound.
+// Responses of the state service hold up to 512 KiB of entries; responses to watches are unbounded.
 inline constexpr std::size_t max_response_body_bytes = 64 * 1024 * 1024;
-// seconds; a half-open connection is dropped after this much silence. Users poll every 5 s.
+// Seconds without traffic after which the server closes a connection, because it may be half open.
+// Longer than the 5 s between two polls of a user.
 inline constexpr Seconds server_idle_timeout{75.0};
-// share of the socket limit that incoming connections may use; the rest is for our own calls.
+// Fraction of the socket limit available to incoming connections. The rest is for outgoing calls.
 inline constexpr double server_socket_share = 0.75;
-// sockets a controller needs for itself: two listeners, and to each of the cloud and the state
-// service one at least besides the one that a watch holds.
+// Sockets that a controller needs for itself: two listeners and, for each of the cloud and the
+// state service, at least one connection besides the one that a watch occupies.
 inline constexpr std::size_t min_own_sockets = 8;
-// connections per remote service; enough to hide latency, far below any socket limit.
+// Connections to each remote service: enough to hide its latency, far below any socket limit.
 inline constexpr std::size_t client_connections = 24;
-// waiting calls per remote service before new ones fail at once.
+// Calls to one remote service that may wait for a connection; further calls fail at once.
 inline constexpr std::size_t client_backlog = 512;
-// bytes; a frame between peers holds a status with at most `max_advertised_jobs` counts and
-// `max_advertised_cancellations` names, of some 60 and 42 bytes with the longest ids; anything
-// larger is garbage.
+// Largest valid frame between peers. A status contains at most `max_advertised_jobs` counts of
+// about 60 bytes and `max_advertised_cancellations` job ids of about 42 bytes, if all
+// ids have the greatest length. A longer frame is invalid.
 inline constexpr std::size_t max_peer_frame_bytes = 512 * 1024;
-// incoming connections of peers: a handful, some of them half open.
+// Incoming connections from peers. There are only a few peers, but some connections may be half
+// open.
 inline constexpr int max_peer_connections = 16;
 
 // --- log ---
-// a line equal to the one before it is only counted for this long: enough to hold back a flood.
+// Seconds for which repetitions of a log line are counted instead of written, to limit floods.
 inline constexpr std::chrono::seconds log_repeat_window{5};
 
 // --- state service ---
-// seconds without a response of the state service after which a controller counts as cut off:
-// longer than a call may take.
+// Seconds without a response of the state service after which a controller counts as cut off from
+// it: longer than `state_timeout`.
 inline constexpr Seconds state_contact_stale_after{3.0};
-// seconds before a user's change that was refused for its rate is offered again: a twentieth of a
-// second's rate is back by then.
+// Seconds before a user's change that the state service rejected for its rate is sent again: by
+// that time a twentieth of the changes allowed per second is available again.
 inline constexpr Seconds throttle_pause{0.05};
-// seconds; responses usually take 10 ms and now and then a few hundred.
+// Seconds; responses usually take 10 ms, occasionally a few hundred.
 inline constexpr Seconds state_timeout{2.0};
-// seconds; how long a watch is held open, and the slack before it times out. A response proves that
-// everything is known that was committed before the watch was sent, and a leader may keep worker
-// leases alive only on that proof: so the hold is short, at one request a second.
+// Seconds for which the state service may hold a watch open, and the additional time before the
+// watch times out. A response proves that the cache includes every change committed before the
+// watch was sent, and a leader may extend worker leases only with that proof. The hold is therefore
+// short, at the cost of one request per second.
 inline constexpr Seconds watch_hold{1.0};
 inline constexpr Seconds watch_slack{3.0};
-// seconds; pause before the state service is asked again after a failure.
+// Seconds before a request to the state service is repeated after a failure.
 inline constexpr Seconds state_retry_pause{0.25};
-// seconds; shortest and longest wait before a call held back by the rate limit is tried again.
+// Seconds; bounds of the wait before a call that the rate limit delayed is tried again.
 inline constexpr Seconds min_bucket_wait{0.002};
 inline constexpr Seconds max_bucket_wait{1.0};
-// share of the published limits a leader and a follower use; two followers and one leader stay
-// below the whole.
+// Fractions of the state service's rate limits that a leader and a follower use. One leader and two
+// followers together stay below the whole limit.
 inline constexpr double leader_rate_share = 0.6;
 inline constexpr double follower_rate_share = 0.17;
-// keys a page; PROTOCOL allows 1,000 or 512 KiB.
+// Keys per page of a list; PROTOCOL allows 1,000 keys or 512 KiB.
 inline constexpr int list_page = 500;
 
-// share of the cloud's calls that the leader uses; nobody else calls, but a former leader may have
-// used some just before.
+// Fraction of the cloud's rate limit that the leader uses. Only leaders call the cloud, but a
+// former leader may have used part of the limit just before.
 inline constexpr double cloud_rate_share = 0.9;
 
-// calls for users that may wait for the rate limit: as many as are out in a second, and at least so
-// many.
+// A controller counts as overloaded when more user requests wait for the state service's rate limit
+// than it may send in a second, and more than this.
 inline constexpr std::size_t min_queued_user_requests = 60;
 
 // --- leader election ---
-// milliseconds; duration of the leader lease: long enough to survive lost packets and slow
+// Milliseconds; duration of the leader lease: long enough to survive lost packets and slow
 // responses, short enough that worker leases outlast a failover.
 inline constexpr std::chrono::milliseconds leader_lease_ttl{4000};
-// seconds between checks of the leader lease; far below its duration.
+// Seconds between checks of the leader lease; far below its duration.
 inline constexpr Seconds election_tick{0.1};
-// seconds between renewals; three attempts fit into the duration of the lease.
+// Seconds between renewals of the leader lease; three attempts fit into its duration.
 inline constexpr Seconds leader_lease_renew_interval{1.0};
-// seconds; timeout of calls that create or renew a leader lease.
+// Seconds; timeout of calls that create, renew or delete a leader lease.
 inline constexpr Seconds leader_lease_call_timeout{1.5};
-// fraction; the bound PROTOCOL gives for drift of steady clocks, doubled for two clocks.
+// Relative drift between two steady clocks: twice the bound that PROTOCOL gives for one clock.
 inline constexpr double clock_drift = 0.001;
-// seconds; allowance for late timers and packets wherever a lease must have expired.
+// Seconds; allowance for late timers and packets wherever a lease must have expired.
 inline constexpr Seconds lease_margin{1.0};
-// jobs whose task counts one status names; the counts are for display only.
+// Jobs whose task counts one peer status contains; the counts are only shown to users.
 inline constexpr std::size_t max_advertised_jobs = 3000;
-// seconds between status broadcasts to the peers.
+// Seconds between status broadcasts to the peers.
 inline constexpr Seconds peer_heartbeat_interval{1.0};
-// cancelled jobs that one status names; a status that would have to name more confirms nothing.
-// Jobs that are cancelled and have no final state are few, except in a long outage.
+// Cancelled jobs that one peer status lists. A status that would have to list more confirms no
+// cancellation. Cancelled jobs without a final record are few, except in a long outage.
 inline constexpr std::size_t max_advertised_cancellations = 6000;
-// seconds; a peer's status describes the present for this long.
+// Seconds for which a peer's status counts as current.
 inline constexpr Seconds max_peer_status_age{3.0};
 
-// seconds over which heartbeats are counted to see whether workers reach their leader. A worker
-// that does not is redirected by a peer every 5 s or so (PROTOCOL: 4 s without a response, 1 s to
-// the next controller), so that each of them is counted within it; far below a worker lease.
+// Seconds over which heartbeats are counted to determine whether workers reach their leader. Peers
+// redirect a worker that does not about every 5 s (PROTOCOL: 4 s without a response, 1 s until it
+// tries the next controller), so the window includes each such worker. Far below a worker lease.
 inline constexpr Seconds reachability_window{6.0};
-// times as many heartbeats redirected by peers as arrive at which a leader resigns: a fault of one
-// zone or of some machines does not reach it.
+// A leader resigns when peers redirect more than this many times as many heartbeats as it receives
+// directly. A fault of one zone or of some machines does not reach this ratio.
 inline constexpr std::uint64_t resign_ratio = 4;
-// times `heartbeat_interval` between two heartbeats at most (PROTOCOL: plus or minus a quarter).
+// Longest time between two heartbeats of a worker, as a multiple of `heartbeat_interval`
+// (PROTOCOL: the interval varies by a quarter).
 inline constexpr double heartbeat_jitter = 1.25;
-// machines below which silence says nothing about whether workers reach the leader. Not more: a
-// small fleet whose leader waits for the peers' counts loses its leases.
+// Fewest machines for which missing heartbeats are evidence that workers do not reach the leader.
+// Not more: in a small fleet the worker leases would expire while its leader waits for the peers'
+// counts.
 inline constexpr std::size_t reachability_min_machines = 3;
-// seconds for which a controller that has resigned does not campaign, unless workers reach it.
+// Seconds for which a controller that has resigned does not campaign, unless workers reach it.
 inline constexpr Seconds resign_cooldown{30.0};
 
-// share of the time that a cut-off leader may go on responding for which one responds that has not
-// replayed the journal yet: cancellations may have waited for it since before its election.
+// A leader that can no longer receive cancellations may respond to workers for a limited time. A
+// leader that has not yet replayed the journal has only this fraction of that time, because
+// cancellations may have been pending since before its election.
 inline constexpr double unready_response_share = 0.25;
 
 // --- users ---
-// seconds; polls are gathered for this long and confirmed by one compare.
+// Seconds for which polls are gathered, to be confirmed by one compare.
 inline constexpr Seconds poll_batch_window{0.015};
-// seconds; a response of the state service to a call sent longer ago is not passed on to users:
-// another controller may have reported a later state since. Above the few hundred ms that a
-// response sometimes takes, and below the timeout of a poll.
+// Seconds after sending a read within which its response may be passed on to users; later, another
+// controller may have reported a newer state. Above the few hundred milliseconds that a response
+// sometimes takes, and below the timeout of a poll.
 inline constexpr Seconds max_read_age{1.0};
-// seconds; for this long a user's change that was throttled by the state service is tried again.
+// Seconds for which a user's change that the state service throttled is tried again.
 inline constexpr Seconds submission_retry_window{1.0};
-// seconds; the value of Retry-After.
+// Seconds; the value of the Retry-After header.
 inline constexpr std::chrono::seconds retry_after{1};
-// tasks; PROTOCOL's bound on one job.
+// Tasks in one job; PROTOCOL's limit.
 inline constexpr std::uint64_t max_tasks = 100'000;
-// bytes; longest job id accepted, so that every key made of it stays below 200 bytes.
+// Bytes of the longest job id accepted; every key that contains a job id stays below 200 bytes.
 inline constexpr std::size_t max_id_bytes = 40;
-// bytes; a submission's texts are short names. Keeps a job record below the value limit.
+// Bytes of each text of a submission. They are short names; the limit keeps a job record below the
+// value limit.
 inline constexpr std::size_t max_name_bytes = 200;
 
 // --- records ---
-// share of the state service's limit on a value that one of ours may fill.
+// Fraction of the state service's value limit that a value may fill as this program encodes it.
 inline constexpr double value_fill_share = 0.9;
-// changes that a transaction must at least be able to carry.
+// Changes that the state service must at least allow in one transaction: a final record takes two,
+// since it replaces the job's record.
 inline constexpr int min_txn_ops = 2;
-// bytes of a value that a bitmap in hex may take; the rest is for the entry around it, which holds
-// one job id of at most `max_id_bytes`, and for the record.
+// Fraction of a value's bytes that a bitmap in hex may take. The rest is for the entry around it,
+// which contains one job id of at most `max_id_bytes`, and for the record.
 inline constexpr double bitmap_value_share = 0.5;
-// bytes that one run of a journal entry takes at most with the machine names of the cloud in
-// PROTOCOL's form and five digits an index; a longer one makes its entry longer than planned, which
-// the share that is left free allows for.
+// Bytes of the longest index range in a journal entry, with the cloud's machine names in PROTOCOL's
+// form and indices of five digits. A longer range makes its entry longer than planned, for which
+// the fraction of the value that is left free suffices.
 inline constexpr std::size_t journal_run_bytes = 40;
-// tasks a done bitmap of a snapshot holds at most; fewer where a value must be small.
+// Tasks in one bitmap of finished tasks in a snapshot; fewer where values must be small.
 inline constexpr std::size_t max_bitmap_chunk_tasks = 16'000;
-// bytes of values in one transaction; PROTOCOL's bound is 64 KiB with everything around them.
+// Bytes of values in one transaction; PROTOCOL limits the whole transaction to 64 KiB.
 inline constexpr std::size_t max_transaction_bytes = 48'000;
-// segments; the ring of keys that the journal goes round in.
+// Segments in the ring of keys that the journal reuses.
 inline constexpr std::uint64_t journal_ring = 1024;
-// segments that may have to be read after the snapshot: at least so many, and more, up to the whole
-// ring, in proportion to the parts of the snapshot. A snapshot is due after half of them, so that
-// the other half is there while it is written. Version 0.1.0 has a ring of just the least, and goes
-// on from a longer one after a snapshot of its own.
+// The number of segments that may follow a snapshot is proportional to the snapshot's chunks, at
+// least `min_open_segments` and at most the whole ring. The next snapshot is due after half of that
+// number, so that the other half is available while the snapshot is written. Version 0.1.0 has a
+// ring of only `min_open_segments`, and can continue a longer journal once it has written a
+// snapshot of its own.
 inline constexpr std::uint64_t min_open_segments = 256;
 inline constexpr std::uint64_t open_segments_per_chunk = 4;
-// bytes of segments after which a snapshot is due, unless the last snapshot was larger than half of
-// it: then twice its size, so that at most every third byte written is a snapshot's.
+// A snapshot is due after this many bytes of segments, or after `segment_bytes_per_snapshot_byte`
+// times the bytes of the last snapshot if that is more: at most every third byte written then
+// belongs to a snapshot.
 inline constexpr std::size_t min_journal_bytes_before_snapshot = 64 * 1024;
 inline constexpr std::size_t segment_bytes_per_snapshot_byte = 2;
-// runs one journal entry carries at most, so that records can be cut between entries; fewer where a
-// value must be small.
+// Elements of one stored journal entry, so that a record can be split between entries; fewer where
+// values must be small.
 inline constexpr std::size_t max_journal_entry_runs = 64;
-// share of the state service's changes a second that segments of the journal may take; at the usual
-// limits this is one every 0.15 s or so, which is also what a start waits for it.
+// The journal writes one transaction at most per 1 / (this fraction x the state service's changes
+// per second). At the usual limits this is about every 0.15 s, which a task's start also waits for.
 inline constexpr double journal_rate_share = 0.15;
-// share of the state service's changes a second that the journal may take in all. Where values are
-// small its transactions have many; without this bound final records, which come after the journal,
-// fell behind by minutes.
+// Fraction of the state service's changes per second that the journal may use in total. Where
+// values are small its transactions contain many changes; without this limit the final records,
+// which have a lower priority than the journal, were delayed by minutes.
 inline constexpr double journal_change_share = 0.3;
-// parts of a snapshot in one transaction; more would hold up users' writes, and only a snapshot
-// that would not be written before the segments run out has more.
+// Lower bound of the snapshot chunks in one transaction. More would delay users' writes; only a
+// snapshot that could not be completed before the segments run out uses more.
 inline constexpr std::size_t min_snapshot_chunks_per_write = 2;
-// seconds before a transaction of the journal that was refused or not answered is sent again.
+// Seconds before a journal transaction that failed or was not answered is sent again.
 inline constexpr Seconds journal_retry_pause{0.1};
-// tasks one machine takes at most; keeps its reports and the answers within PROTOCOL's bounds.
+// Tasks on one machine; keeps its heartbeats and their responses within PROTOCOL's limits.
 inline constexpr std::size_t max_tasks_per_machine = 150;
-// seconds between passes that write final records.
+// Seconds between transactions that write final records.
 inline constexpr Seconds finalize_interval{0.04};
-// seconds between looks for jobs whose final record was held up by something else's change.
+// Seconds between scans for jobs whose final record was not written because another change to the
+// job's record came first.
 inline constexpr Seconds finalize_sweep_interval{2.0};
-// bits of an attempt number left to count within one leader's token.
+// Lower bits of an attempt number, which count the attempts of one leader's fencing token.
 inline constexpr int attempt_bits = 24;
 
 // --- workers ---
-// seconds; pause of the dispatcher's clock, half a pass of the writers.
+// Seconds between ticks of the leader; half of `finalize_interval`.
 inline constexpr Seconds leader_tick{0.02};
-// seconds between looks at the leases; fine against leases of several seconds.
+// Seconds between checks of the worker leases; short compared with leases of several seconds.
 inline constexpr Seconds lease_check_interval{0.5};
-// seconds after which a worker gives up waiting for an answer (PROTOCOL).
+// Seconds after which a worker stops waiting for the response to a heartbeat (PROTOCOL).
 inline constexpr Seconds worker_response_timeout{4.0};
-// reports missed before a machine counts as late.
+// A machine's heartbeat is overdue after this many heartbeat intervals plus `overdue_slack`.
 inline constexpr double overdue_heartbeats = 2.5;
-// seconds added to it, for late timers and packets.
+// Seconds; allowance for late timers and packets.
 inline constexpr Seconds overdue_slack{1.0};
-// seconds a machine is avoided after a failure, doubling.
+// Seconds for which new tasks avoid a machine after a failure, doubled for each of its failures in
+// a row: 8 s after the first, at most 64 s.
 inline constexpr Seconds initial_avoid_time{4};
-// seconds the answer to a report is kept back when a start for that machine is on its way into the
-// journal: far below the 4 s after which a worker gives up, and below the gap between reports.
+// Seconds for which the response to a heartbeat may be delayed until the placement of a task to be
+// started is durable in the journal. Far below `worker_response_timeout`, and below the time
+// between heartbeats.
 inline constexpr Seconds max_response_hold{0.5};
-// heartbeat intervals before its preemption at which a machine's tasks are stopped, besides the
-// time that a gang saves: one heartbeat brings the stop and a later one proves that the task has
-// gone.
+// A preempted machine's tasks are stopped this many heartbeat intervals before the preemption, plus
+// the time that a gang needs to save: the response to one heartbeat carries the stop command, and a
+// later heartbeat proves that the task has exited.
 inline constexpr double preemption_stop_heartbeats = 2.5;
-// starts that the next report does not show, or sessions that end without showing any, before our
-// answers are taken not to arrive.
+// Start commands of one task that the next heartbeat does not list, or incarnations in a row that
+// end without listing any started task, after which responses to the machine are assumed to be
+// lost.
 inline constexpr int max_unacknowledged_starts = 2;
-// leases after which a machine that does not hear us is given back.
+// Worker leases after which a machine that does not receive responses is released.
 inline constexpr double unresponsive_leases_before_release = 3;
 
 // --- planning ---
-// units; the paper's cost of a task with its image at hand and without (section 3.1).
+// Cost units of the LABL paper (section 3.1): a task whose image is cached on its machine, and a
+// task whose image is not.
 inline constexpr double local_units = 1.0;
 inline constexpr double remote_units = 3.0;
-// units; how far the bound may rise above its start while remote placement goes on (ours, open).
+// Cost units; how far LABL's latency limit may rise above the lower bound at which it starts while
+// remote placement is still considered. Chosen by this project; the paper leaves it open.
 inline constexpr double remote_offset_units = 1.0;
-// seconds between plans at most; a plan costs processor time that reports need too.
+// Shortest time in seconds between plans; a plan uses processor time that heartbeats need too.
 inline constexpr Seconds min_plan_interval{0.2};
-// seconds of each period in which free room is reserved for a gang that does not fit: in 40 s tasks
-// of half a minute free enough of it, and single tasks, which may not wait 90 s beside free room,
-// get their turn in the rest of the period.
+// In each period of `gang_reservation_period` seconds, capacity is reserved for
+// `gang_reservation_time` seconds for a gang that does not fit. Within 40 s, tasks of half a minute
+// free enough capacity for it. Single tasks may not wait 90 s beside free capacity and are placed
+// in the rest of the period.
 inline constexpr Seconds gang_reservation_time{40.0};
 inline constexpr Seconds gang_reservation_period{55.0};
-// share of the gang assembly timeout within which a lost task is replaced; later than that, a new
-// attempt is complete sooner.
+// Fraction of the gang assembly timeout within which a lost task is replaced; after that, a new
+// attempt assembles sooner.
 inline constexpr double gang_replacement_share = 0.4;
-// seconds after the newest gang of a class for which room is kept ready for the next one.
+// Seconds after the newest gang of a class for which capacity is kept ready for the next one.
 inline constexpr Seconds gang_room_kept_for{120.0};
-// seconds; the shortest run time that the planner assumes, so that no load is zero.
+// Seconds; the shortest run time that the planner assumes, so that no load is zero.
 inline constexpr Seconds min_estimated_run_time{1.0};
-// pause after a plan, in multiples of the time that it took: plans use at most a tenth of the
-// processor's share.
+// Pause after a plan as a multiple of its duration: planning uses at most a tenth of the time.
 inline constexpr double planning_pause_factor = 9;
-// batches of arrays in one plan: each uses what the one before it leaves free.
+// Batches of arrays in one plan; each uses the capacity that the previous ones left free.
 inline constexpr int max_array_batches = 3;
-// seconds after its submission by which an array without a deadline or aim should be finished.
+// Seconds from submission to completion intended for an array without a deadline or target.
 inline constexpr Seconds default_completion_target{300};
-// multiple of its completion target up to which an array is planned by that target: users have an
-// aim at 1.5 times the target beside the one at the target itself.
+// Multiple of its completion target until which an array is planned by that target. Users state a
+// second target at 1.5 times the first.
 inline constexpr double overdue_target_factor = 1.5;
-// seconds that the first task of an array waits before it starts in any free room, also where it
-// has to fetch: half of the 90 s for which nothing may wait beside free room.
+// Seconds that an array's first task waits before it is placed in any free capacity, even where its
+// image must be fetched: half of the 90 s that no task may wait beside free capacity.
 inline constexpr Seconds max_first_task_wait{45};
-// seconds that an array waits before its first tasks go before all other arrays: PROTOCOL wants the
-// largest to begin within 240 s.
+// Seconds that an array waits before its first tasks precede all other arrays: PROTOCOL requires
+// even the largest array to begin within 240 s.
 inline constexpr Seconds starvation_wait{150};
-// divisor of a starved array's tasks that gives how many go first: a twentieth begins it, and
-// leaves room for the others.
+// Divisor that gives how many tasks of a starved array precede the others: a twentieth of them
+// starts the array and leaves capacity for other arrays.
 inline constexpr std::uint32_t starved_array_divisor = 20;
-// searches for work to preempt in one plan: each goes through all machines.
+// Searches for tasks to preempt in one plan; each search scans all machines.
 inline constexpr int max_preemption_searches = 20;
-// heartbeat intervals of startup delay that a replica accepts for a machine full of services rather
-// than one without any: enough to keep replicas together, too little to wait for a fetch.
+// Startup delay, in heartbeat intervals, that a replica accepts to run on a machine that runs only
+// services rather than on one without any: enough to pack replicas together, too little to wait for
+// a fetch.
 inline constexpr double service_packing_heartbeats = 1.0;
-// heartbeat intervals of startup delay that a replica accepts for a zone with none of its class's
-// replicas rather than one with all of them.
+// Startup delay, in heartbeat intervals, that a replica accepts to run in a zone with none of its
+// class's replicas rather than in one with all of them.
 inline constexpr double zone_spread_heartbeats = 2.0;
-// shares of a type's usual boot time between which a machine is up (PROTOCOL: usually 0.6 to 1.5).
+// Fractions of a type's usual boot time between which a machine is expected to finish booting
+// (PROTOCOL: usually 0.6 to 1.5).
 inline constexpr double boot_earliest_share = 0.6;
 inline constexpr double boot_latest_share = 1.5;
-// seconds after its submission up to which a replica is left to wait for a machine that boots: half
-// of the 90 s after which waiting beside room counts as a fault, and some for the fetch.
+// Seconds after its submission until which a replica may wait for a booting machine: half of the
+// 90 s after which waiting beside free capacity counts as a fault, and an allowance for the fetch.
 inline constexpr Seconds max_boot_wait{55};
-// tolerance of LABL's comparisons, so that rounding does not push a sum of loads above a limit.
+// Tolerance of LABL's comparisons, so that rounding does not raise a sum of loads above a limit.
 inline constexpr double labl_rounding_slack = 1e-9;
-// rounds after which LABL leaves the rest unassigned, so that no input holds up a plan.
+// Rounds after which LABL leaves the remaining tasks unassigned, so that no input blocks planning.
 inline constexpr int max_labl_rounds = 400;
-// units; where the search for LABL's lower bound ends, so that it ends for every input.
+// Cost units at which the search for LABL's lower bound stops, so that it ends for every input.
 inline constexpr std::uint64_t max_labl_bound_units = std::uint64_t{1} << 32;
 
 // --- machines ---
-// times the type's boot time after which a machine that never reported is given back.
+// A machine that never sent a heartbeat is released after this multiple of its type's boot time
+// plus `boot_timeout_floor`.
 inline constexpr double boot_timeout_factor = 4.0;
-// seconds added to it, for types that boot at once.
+// Seconds; allowance for types whose boot time is close to zero.
 inline constexpr Seconds boot_timeout_floor{30.0};
-// seconds a machine may stay silent beyond its lease before it is given back. One that has died is
-// listed as failed after half a minute; one that hangs or is cut off comes back with its images.
+// Seconds beyond its worker lease for which a machine may be silent before it is released. The
+// cloud lists a machine that has failed after half a minute; one that hangs or is cut off may
+// return with its cached images.
 inline constexpr Seconds silence_grace{90.0};
-// seconds that the fleet keeps room for its highest demand; deleting costs at least 60 s of rent.
+// Seconds over which the fleet keeps capacity for the highest demand; deleting a machine costs at
+// least 60 s of rent.
 inline constexpr Seconds idle_keep{40.0};
-// times that demand: room for what comes next.
+// Multiple of that highest demand for which capacity is kept, to have some for new work.
 inline constexpr double fleet_headroom = 1.1;
-// share of the fleet that may begin to drain in one pass.
+// Largest fraction of the machines that are candidates for draining of which draining may start in
+// one capacity pass.
 inline constexpr double drain_share = 0.05;
-// share of a machine that services may hold when it is emptied by moving them elsewhere.
+// Largest fraction of a machine's cpus used by services at which it may be drained by moving their
+// replicas to other machines.
 inline constexpr double move_share = 0.5;
-// share of the replicas' time that moving them may cost.
+// Largest fraction of all replicas' run time that may be lost by moving replicas.
 inline constexpr double moving_cost = 0.005;
-// seconds; where two moves would have to be further apart than this, replicas are so few that a
-// single move is felt, and none is made.
+// Seconds; if the pause between two moves would have to be longer than this, there are so few
+// replicas that a single move has a noticeable cost, and none is moved.
 inline constexpr Seconds max_moving_pause{60};
-// reports' intervals that a replica on the move is down.
+// Heartbeat intervals for which a replica is down while it is moved.
 inline constexpr double moving_reports = 2.0;
-// failures in a row, of different jobs, that put a machine in quarantine.
+// Failures in a row, of at least two different jobs, after which a machine is quarantined.
 inline constexpr int quarantine_failures = 3;
-// seconds; first and longest pause before a failed task is tried again.
-// The longest leaves time to find a place within the 90 s after which waiting counts as a fault.
+// Seconds; first and longest pause before tasks of a job that fails on every machine are tried
+// again. The longest leaves time to find a machine within the 90 s after which waiting counts as a
+// fault.
 inline constexpr Seconds initial_retry_pause{1.0};
 inline constexpr Seconds max_retry_pause{45.0};
-// tasks of a job that fails wherever it runs that are out at once: enough to see when it is mended,
-// without room kept busy for the rest.
+// Tasks that a job that fails on every machine may have placed at once: enough to detect that it
+// runs again, without occupying capacity for the rest of its tasks.
 inline constexpr std::uint32_t max_retrying_tasks = 2;
-// seconds between looks at types and prices; prices move slowly.
+// Seconds between fetches of the machine types and their prices; prices change slowly.
 inline constexpr Seconds catalog_refresh_interval{60.0};
-// seconds before a rental without an answer is asked for again.
+// Seconds before a rental request without a response is sent again.
 inline constexpr Seconds rental_retry_pause{2.0};
-// seconds before a release that the cloud refused or did not answer is sent again.
+// Seconds before a release that the cloud refused or did not answer is sent again.
 inline constexpr Seconds release_retry_pause{1.0};
-// names; PROTOCOL's bound on one release.
+// Machines in one release request; PROTOCOL's limit.
 inline constexpr std::size_t max_released = 100;
-// share of the cloud's calls that the pages of a machine list may take.
+// Fraction of the cloud's rate limit that fetching the pages of a machine list may use.
 inline constexpr double list_call_share = 0.25;
-// seconds between machine lists.
+// Seconds between the end of one machine list and the start of the next.
 inline constexpr Seconds list_interval{5.0};
-// seconds; first and longest pause before a type and zone that had no capacity is asked again. It
-// doubles, so that refusals do not use up the cloud's calls.
+// Seconds; first and longest pause before an offer (machine type, zone, spot or on demand) that had
+// no capacity is requested again. The pause doubles, so that refusals do not exhaust the cloud's
+// rate limit.
 inline constexpr Seconds initial_no_capacity_pause{15.0};
 inline constexpr Seconds max_no_capacity_pause{60.0};
-// seconds; a cloud call is given up after this.
+// Seconds; timeout of a call to the cloud.
 inline constexpr Seconds cloud_timeout{8.0};
-// seconds between passes over the fleet's size.
+// Seconds between passes that adjust the size of the fleet.
 inline constexpr Seconds capacity_pass_interval{1.0};
-// machines in one rental request; PROTOCOL's bound.
+// Machines in one rental request; PROTOCOL's limit.
 inline constexpr int max_rented_machines = 50;
-// seconds; a machine for a service is worth twice its price when its replica is up this much
-// sooner. About a boot: below it price decides, far above it speed does.
+// Seconds; a machine for a service is worth twice its price when its replica starts this much
+// sooner. About one boot time: below it the price decides, far above it the speed.
 inline constexpr Seconds service_delay_worth{30.0};
-// how much dearer a kind of machine counts when the whole fleet is of it: no type or zone should
-// hold everything.
+// Relative surcharge on an offer's price when the whole fleet consists of that offer: no machine
+// type or zone should provide all capacity.
 inline constexpr double kind_spread = 0.3;
-// share of the running services' cores kept free or booting for the next ones.
+// Fraction of the running services' tasks for which capacity is kept free or booting.
 inline constexpr double service_reserve = 0.12;
 
 }  // namespace poppystile::constants
