--- a/src/clock.hpp
+++ b/src/clock.hpp
@@ -6,10 +6,10 @@
 
 namespace poppystile {
 
-/// A span of time in seconds, with fractions: the unit of the settings and of every message.
+/// A duration in seconds, with fractions: the unit of the settings and of all messages.
 using Seconds = std::chrono::duration<double>;
 
-/// Steady time of this process; only differences mean anything.
+/// Monotonic time of this process. Only differences between two times are meaningful.
 struct SteadyClock {
   using rep = Seconds::rep;
   using period = Seconds::period;
@@ -18,7 +18,8 @@
   static constexpr bool is_steady = true;
 };
 
-/// Time of day since 1970, comparable with other machines' up to `Settings::max_clock_offset`.
+/// Time since the Unix epoch. Clocks of different machines differ by at most
+/// `Settings::max_clock_offset`.
 struct WallClock {
   using rep = Seconds::rep;
   using period = Seconds::period;
@@ -27,11 +28,11 @@
   static constexpr bool is_steady = false;
 };
 
-/// A default-constructed time stands for "never".
+/// A default-constructed time means "never".
 using SteadyTime = SteadyClock::time_point;
 using WallTime = WallClock::time_point;
 
-/// Seconds since the clock's epoch, as messages and records carry them.
+/// Seconds since the clock's epoch, the form of times in messages and records.
 template <typename Clock>
 double to_unix_seconds(std::chrono::time_point<Clock, Seconds> time) {
   return time.time_since_epoch().count();
--- a/src/cluster/attempt_numbers.hpp
+++ b/src/cluster/attempt_numbers.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Attempt numbers: distinct and growing over all leaders, without a record of them.
+/// Attempt numbers: unique and increasing across all leaders, without being stored.
 #pragma once
 
 #include <cstdint>
@@ -9,15 +9,17 @@
 
 namespace poppystile::cluster {
 
-/// Draws the attempt numbers of one leader's term. Its fencing token is in the upper bits.
+/// Generates the attempt numbers of one leader's term. The upper bits are the leader's fencing
+/// token, the lower `attempt_bits` a counter that begins at 1.
 class AttemptNumbers {
  public:
-  /// `used`: of the token's numbers, how many were drawn before.
+  /// `used`: how many of the token's attempt numbers were generated before.
   explicit AttemptNumbers(std::uint64_t token = 0, std::uint64_t used = 0)
       : token_(token), used_(used) {}
 
-  /// One number serves all tasks of a plan, since a plan places a task once at most. Nothing when
-  /// the token's numbers are used up: the next ones would be those of the next token.
+  /// The next attempt number. One number is used for all placements of a plan, since a plan places
+  /// a task at most once. `nullopt` when the token's numbers are exhausted: a further one would
+  /// belong to the next token.
   std::optional<std::uint64_t> next() {
     if (used_ + 1 >= std::uint64_t{1} << constants::attempt_bits) return std::nullopt;
     return (token_ << constants::attempt_bits) | ++used_;
--- a/src/cluster/gang_attempt.hpp
+++ b/src/cluster/gang_attempt.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The present attempt to run a gang.
+/// The current attempt to run a gang.
 #pragma once
 
 #include <cstdint>
@@ -10,24 +10,25 @@
 
 namespace poppystile::cluster {
 
-/// From the placement of all tasks of a gang in one decision until the last of them is proven to be
-/// off its machine.
+/// An attempt begins when one plan places all tasks of the gang, and ends when the last of them is
+/// proven to have left its machine.
 struct GangAttempt {
   enum class Phase : std::uint8_t {
-    none,        // no task is placed
-    assembling,  // every task is placed, or to be replaced; none has been seen to run
-    running,
-    stopping,  // all tasks save and stop together
-    ending     // a task is gone: the others are stopped, for nothing is left to save
+    none,        // No task is placed.
+    assembling,  // Every task is placed or to be replaced; none has been reported as running.
+    running,     // At least one task has been reported as running.
+    stopping,    // All tasks are to save and stop together.
+    ending       // The attempt failed, for example by a lost task: the others are stopped.
   };
 
   Phase phase = Phase::none;
-  std::uint64_t number = 0;  // attempt number of all its tasks
+  std::uint64_t number = 0;  // Attempt number of all tasks.
   SteadyTime placed_at;
-  SteadyTime task_lost_at;     // when the newest lost task was found to be gone
-  std::set<std::string> left;  // machines that a task of this attempt has left
+  SteadyTime task_lost_at;  // When the latest loss of a task was detected.
+  // Machines that lost a task of this attempt; no replacement is placed on them.
+  std::set<std::string> left;
 
-  /// Whether no task may be started or replaced any more.
+  /// Whether the attempt can no longer start or replace tasks.
   bool is_over() const { return phase == Phase::stopping || phase == Phase::ending; }
 };
 
--- a/src/cluster/job.cpp
+++ b/src/cluster/job.cpp
@@ -13,7 +13,7 @@
     index = requeued.back();
     requeued.pop_back();
   } else {
-    // A restored job has tasks beyond `next_unplaced` that are finished or placed already.
+    // A restored job may have placed or finished tasks from `next_unplaced` on.
     while (phases.at(next_unplaced) != TaskPhase::waiting) ++next_unplaced;
     index = next_unplaced++;
   }
@@ -25,9 +25,9 @@
 std::uint32_t Job::schedulable_tasks() const {
   if (is_gang()) return gang.is_over() ? 0 : waiting();
   if (retry_pause == Seconds{0}) return waiting();
-  const auto out = static_cast<std::uint32_t>(placements.size());
-  return std::min(waiting(),
-                  constants::max_retrying_tasks - std::min(constants::max_retrying_tasks, out));
+  const auto placed_tasks = static_cast<std::uint32_t>(placements.size());
+  return std::min(waiting(), constants::max_retrying_tasks -
+                                 std::min(constants::max_retrying_tasks, placed_tasks));
 }
 
 void Job::reset_failures() {
@@ -54,16 +54,17 @@
 
 void Job::for_each_placement(const std::function<void(Placement&)>& action) {
   for (const auto& [index, machine] : placements)
-    for (auto& each : machine->placements)
-      if (each.index == index && each.job == spec().id && each.phase != PlacementPhase::exited)
-        action(each);
+    for (auto& placement : machine->placements)
+      if (placement.index == index && placement.job == spec().id &&
+          placement.phase != PlacementPhase::exited)
+        action(placement);
 }
 
 bool Job::may_replace_tasks(SteadyTime now, Seconds max_wait) const {
   if (gang.phase != GangAttempt::Phase::assembling) return false;
   if (now - gang.placed_at > max_wait) return false;
-  return std::all_of(placements.begin(), placements.end(), [&](const auto& each) {
-    return each.second->last_heartbeat_at > gang.task_lost_at;
+  return std::all_of(placements.begin(), placements.end(), [&](const auto& placement) {
+    return placement.second->last_heartbeat_at > gang.task_lost_at;
   });
 }
 
--- a/src/cluster/job.hpp
+++ b/src/cluster/job.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// A job that is not over yet, and where its tasks are.
+/// A job without a final state, and the placements of its tasks.
 #pragma once
 
 #include <cstdint>
@@ -23,28 +23,28 @@
 struct Machine;
 
 enum class TaskPhase : std::uint8_t {
-  waiting,  // on no machine, and the journal says so
-  placed,   // the journal names its machine, or is about to
-  finished  // exited with done; durable once the journal is written that far
+  waiting,  // On no machine; a placement that ended is recorded in the journal as ended.
+  placed,   // On a machine; the placement is appended to the journal, but may not be durable yet.
+  finished  // Exited with `done`; the journal entry for it may not be durable yet.
 };
 
 struct Job {
   JobRecord record;
-  std::uint64_t version = 0;  // of the job's record, for conditional changes
+  std::uint64_t version = 0;  // Version of the stored record, for conditional changes.
 
-  std::vector<TaskPhase> phases;                           // of each task
-  std::uint32_t next_unplaced = 0;                         // tasks from here on were never placed
-  std::vector<std::uint32_t> requeued;                     // tasks that came back from a machine
-  std::unordered_map<std::uint32_t, Machine*> placements;  // of the placed tasks
-  std::uint32_t finished = 0;                              // tasks
-  std::uint32_t running = 0;                               // tasks
+  std::vector<TaskPhase> phases;        // By task index.
+  std::uint32_t next_unplaced = 0;      // Waiting tasks below this are in `requeued`.
+  std::vector<std::uint32_t> requeued;  // Waiting tasks that had been placed.
+  std::unordered_map<std::uint32_t, Machine*> placements;  // Machine of each placed task, by index.
+  std::uint32_t finished = 0;                              // Number of finished tasks.
+  std::uint32_t running = 0;                               // Number of running tasks.
 
-  SteadyTime retry_at;              // failed tasks wait until then
-  Seconds retry_pause{0};           // above 0: it fails wherever it runs
-  std::set<std::string> failed_on;  // machines, since it last ran well
-  Seconds longest_failed_run{0};    // the longest run that has failed since
+  SteadyTime retry_at;              // No task is placed before this time.
+  Seconds retry_pause{0};           // Above 0 while the job fails on every machine.
+  std::set<std::string> failed_on;  // Machines on which a task failed since `reset_failures`.
+  Seconds longest_failed_run{0};    // Longest run of a failed task since `reset_failures`.
 
-  GangAttempt gang;  // of a gang only
+  GangAttempt gang;  // Used only for gangs.
 
   const JobSpec& spec() const { return record.spec; }
   bool is_gang() const { return spec().kind == JobKind::gang; }
@@ -56,28 +56,29 @@
     return spec().tasks - static_cast<std::uint32_t>(placements.size()) - finished;
   }
 
-  /// Waiting tasks that may be placed now: a few while every task fails; of a gang all of them, or
-  /// those to be replaced.
+  /// The number of waiting tasks that may be placed now. For a gang: all waiting tasks, or 0 when
+  /// its attempt can no longer replace tasks. For other jobs: all waiting tasks, but while the job
+  /// fails on every machine only so many that at most `max_retrying_tasks` are placed.
   std::uint32_t schedulable_tasks() const;
 
-  /// Forgets the failures so far, because a task of the job has run well.
+  /// Clears the recorded failures, after a task of the job ran without failing.
   void reset_failures();
 
-  /// Marks the next waiting task as placed on the machine and returns its index. One must be
-  /// waiting.
+  /// Marks the next waiting task as placed on the machine and returns its index. At least one task
+  /// must be waiting.
   std::uint32_t take_waiting(Machine& machine);
 
-  /// The task is off its machine and waits again.
+  /// Marks a task that has left its machine as waiting.
   void requeue(std::uint32_t index);
 
-  /// The task has finished; it may have been placed or waiting.
+  /// Marks a task as finished; it must be placed or waiting.
   void finish(std::uint32_t index);
 
-  /// Finishes every task that has not finished yet: the tasks of a gang complete together.
+  /// Marks all remaining tasks as finished: the tasks of a gang complete together.
   void finish_all();
-  /// Whether a gang that lost tasks before it began may have them replaced: it was placed no longer
-  /// than `max_wait` ago, every machine that holds one of its tasks has reported since the loss,
-  /// and none of the tasks runs.
+  /// Whether lost tasks of a gang may be replaced: its attempt is still assembling and was placed
+  /// at most `max_wait` ago, and every machine with one of its tasks has sent a heartbeat since the
+  /// latest loss.
   bool may_replace_tasks(SteadyTime now, Seconds max_wait) const;
 
   /// Calls `action` with each placement of the job that has not exited.
--- a/src/cluster/machine.hpp
+++ b/src/cluster/machine.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// A machine of the fleet, as the leader knows it.
+/// The leader's state of one machine of the fleet.
 #pragma once
 
 #include <cstdint>
@@ -22,58 +22,62 @@
   bool spot = false;
   WallTime rented_at;
 
-  // Of its type.
+  // Properties of the machine type; zero `size` until the type is known.
   Resources size;
   double fetch_gb_per_s = 1;
   double cache_gb = 0;
-  Seconds boot_time{0};  // usual
+  Seconds boot_time{0};  // Usual boot time.
 
-  Resources used;  // by everything that may be on it
+  Resources used;  // Sum over the placements that have not exited.
   std::vector<Placement> placements;
-  std::vector<CachedImage> images;  // least recently used first
+  std::vector<CachedImage> images;  // Cached images, least recently used first.
 
-  // Its worker's newest report.
-  std::uint64_t incarnation = 0;  // 0: it has never reported
+  // The newest heartbeat of its worker.
+  std::uint64_t incarnation = 0;  // 0: no heartbeat was received.
   std::uint64_t sequence = 0;
-  SteadyTime incarnation_started_at;  // the incarnation's first report
+  SteadyTime incarnation_started_at;  // First heartbeat of the incarnation.
   SteadyTime last_heartbeat_at;
 
-  // Contact with this leader.
-  bool has_reported = false;            // has reported, and its lease has not expired since
-  bool has_acknowledged_token = false;  // its worker has seen this leader's token
-  bool has_been_answered = false;       // ever
-  bool is_overdue = false;              // its next report is
-  bool lease_expired = false;           // it was not answered for longer than its lease
+  // Communication with this leader.
+  bool has_reported = false;            // A heartbeat arrived since the last lease expiry.
+  bool has_acknowledged_token = false;  // The newest heartbeat carried this leader's token.
+  bool has_been_answered = false;       // Any heartbeat was answered by this leader.
+  bool is_overdue = false;              // The next heartbeat is overdue.
+  bool lease_expired = false;           // The worker lease expired, and no heartbeat followed.
   SteadyTime last_response_at;
 
-  // Flags that exclude machines from new work, independent of one another.
-  bool releasing = false;  // it is being given back
-  bool draining = false;   // takes nothing new, and is given back once it is empty
+  // Each of these flags alone excludes the machine from new placements.
+  bool releasing = false;  // Its release was requested or is scheduled.
+  bool draining = false;   // Released as soon as it has no placements.
   bool preemption_noticed = false;
   bool quarantined = false;
-  bool is_unresponsive = false;  // it reports, but our responses seem not to arrive
+  bool is_unresponsive = false;  // It sends heartbeats, but responses seem to be lost.
 
   // Failures.
-  int failures = 0;                    // of tasks, in a row
-  int incarnations_without_start = 0;  // in a row, that ended without showing a start that was sent
+  int failures = 0;  // Blamed on it, since a task last completed on it.
+  // Incarnations and leases in a row that ended although starts were sent, none of which was listed
+  // in a heartbeat.
+  int incarnations_without_start = 0;
   std::set<std::string> failed_jobs;
   SteadyTime avoid_until;
   SteadyTime unresponsive_since;
 
-  /// Resources that nothing uses.
+  /// Resources that are not in use.
   Resources room() const {
     Resources free = size;
     free -= used;
     return free;
   }
 
-  /// Whether the image is in the machine's cache.
+  /// Whether the image is in the machine's cache, according to `images`.
   bool holds(const std::string& image) const;
 
-  /// Marks an image as just used; the least recently used ones leave when the cache is full.
+  /// Marks an image of `gb` GB as most recently used. Evicts the least recently used other images
+  /// until the total fits into `cache_gb`.
   void mark_image_used(const std::string& name, double gb);
 
-  /// The placement of this task and attempt; null when the machine has none.
+  /// The placement with this job, task index and attempt; null when the machine has none. Valid
+  /// until `placements` changes.
   Placement* find(const std::string& job, std::uint32_t index, std::uint64_t attempt);
 };
 
--- a/src/cluster/placement.hpp
+++ b/src/cluster/placement.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// One task on one machine, as the leader knows it.
+/// The leader's state of one task on one machine.
 #pragma once
 
 #include <cstdint>
@@ -13,31 +13,32 @@
 using protocol::Resources;
 
 enum class PlacementPhase : std::uint8_t {
-  assigned,  // not reported by the worker yet
-  fetching,  // its image
-  waiting,   // for the other tasks of its gang
+  assigned,  // Not reported by the worker yet.
+  fetching,  // The machine fetches its image.
+  waiting,   // Waits for the other tasks of its gang.
   running,
-  saving,
-  exited  // takes no room any more
+  saving,  // Saves a checkpoint.
+  exited   // Uses no resources.
 };
 
 struct Placement {
   std::string job;
-  std::string team;  // whose use it counts for, also when the job is gone
+  std::string team;  // Kept here because the job may be erased before the placement.
   std::uint32_t index = 0;
   std::uint64_t attempt = 0;
-  Resources each;
+  Resources each;  // Resources of the task.
   PlacementPhase phase = PlacementPhase::assigned;
-  bool stopping = false;                     // its worker is to be told to save and stop it
-  std::uint64_t last_reported_sequence = 0;  // sequence number of the newest report that listed it
-  bool finished = false;                     // exited with done
-  // The journal has to be durable up to here before the task is started; once it has exited, before
-  // the placement is forgotten.
+  bool stopping = false;                     // Its worker is to be sent a stop command.
+  std::uint64_t last_reported_sequence = 0;  // Newest heartbeat that listed it; 0: none.
+  bool finished = false;                     // Exited with `done`.
+  // Position up to which the journal must be durable before the task is started and, once it has
+  // finished, before the placement is erased.
   std::uint64_t log_position = 0;
-  // The newest report that a start command answered.
+  // Incarnation and sequence number of the newest heartbeat answered with a start command for the
+  // task; 0: none was sent.
   std::uint64_t start_incarnation = 0;
   std::uint64_t start_sequence = 0;
-  int unacknowledged_starts = 0;  // start commands that the next report did not show
+  int unacknowledged_starts = 0;  // Starts that the following heartbeat did not list.
   SteadyTime phase_started_at;
 };
 
--- a/src/cluster/snapshot.cpp
+++ b/src/cluster/snapshot.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-// Collects entries, each merged into the one before where that can carry both.
+// Collects entries, merging each into the previous one where possible.
 class EntryList {
  public:
   explicit EntryList(std::size_t max_elements) : max_elements_(max_elements) {}
@@ -37,9 +37,10 @@
   out.add(MachineRegistered{machine.id, machine.type, machine.zone, machine.spot,
                             machine.incarnation, machine.rented_at});
   for (const auto& image : machine.images) out.add(ImageCached{machine.id, image});
-  for (const auto& each : machine.placements)
-    if (each.phase != PlacementPhase::exited)
-      out.add(TaskPlaced{each.job, each.attempt, {{machine.id, IndexRange::single(each.index)}}});
+  for (const auto& placement : machine.placements)
+    if (placement.phase != PlacementPhase::exited)
+      out.add(TaskPlaced{
+          placement.job, placement.attempt, {{machine.id, IndexRange::single(placement.index)}}});
 }
 
 void add_finished(EntryList& out, const Job& job, std::size_t max_tasks) {
--- a/src/cluster/snapshot.hpp
+++ b/src/cluster/snapshot.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// A snapshot of the journal: the leader's state in as few entries as describe it. Pure.
+/// A snapshot of the journal: a short list of entries that describes the leader's state.
 #pragma once
 
 #include <map>
@@ -11,8 +11,9 @@
 
 namespace poppystile::cluster {
 
-/// Replaying these entries gives what replaying everything appended so far would give. `rentals`:
-/// by name. No entry exceeds the limits.
+/// Returns entries whose replay gives the same state as the replay of all entries appended so far.
+/// `rentals` are the unsettled rental requests by name. No entry exceeds `limits`. Has no side
+/// effects.
 std::vector<storage::JournalEntry> snapshot_entries(
     const ClusterState& cluster_state, const std::map<std::string, storage::RentalRecord>& rentals,
     const storage::EntryLimits& limits);
