--- a/src/cluster/machine.hpp
+++ b/src/cluster/machine.hpp
@@ -38,8 +38,9 @@
   SteadyTime incarnation_started_at;  // First heartbeat of the incarnation.
   SteadyTime last_heartbeat_at;
 
-  // Communication with this leader.
-  bool has_reported = false;            // A heartbeat arrived since the last lease expiry.
+  // Communication with this leader. `has_reported` and `has_acknowledged_token` are cleared when
+  // the worker lease expires.
+  bool has_reported = false;            // A heartbeat has arrived.
   bool has_acknowledged_token = false;  // The newest heartbeat carried this leader's token.
   bool has_been_answered = false;       // Any heartbeat was answered by this leader.
   bool is_overdue = false;              // The next heartbeat is overdue.
--- a/src/storage/journal_codec.cpp
+++ b/src/storage/journal_codec.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-// The first element of each entry.
+// The first element of each stored entry: the letter of its kind.
 constexpr const char* machine_registered_letter = "m";
 constexpr const char* incarnation_started_letter = "s";
 constexpr const char* machine_removed_letter = "g";
@@ -28,30 +28,33 @@
 constexpr const char* rental_requested_letter = "h";
 constexpr const char* rental_settled_letter = "x";
 
-// Each hex digit of a bitmap holds this many tasks, the first in the lowest bit.
+// Tasks per hex digit of a bitmap; the lowest bit stands for the first task.
 constexpr std::size_t bits_per_digit = 4;
 
 // --- parts of entries ---
 
-const Json& at(const Json& entry, std::size_t position) {
+const Json& element_at(const Json& entry, std::size_t position) {
   if (position >= entry.size()) throw DecodeError("journal entry is too short");
   return entry[position];
 }
 
 std::string text_at(const Json& entry, std::size_t position) {
-  return as_text(at(entry, position), "entry");
+  return as_text(element_at(entry, position), "journal entry");
 }
 
 std::uint64_t count_at(const Json& entry, std::size_t position) {
-  return as_count(at(entry, position), "entry");
-}
-
-// `position`: of the first index in a run such as ["n-1",3,7] or [3,7].
-IndexRange range_at(const Json& run, std::size_t position) {
-  if (!run.is_array() || run.size() != position + 2) throw DecodeError("run is malformed");
-  const auto first = as_count(run[position], "run");
-  const auto last = as_count(run[position + 1], "run");
-  if (last < first || last >= constants::max_tasks) throw DecodeError("run out of range");
+  return as_count(element_at(entry, position), "journal entry");
+}
+
+// Decodes a stored range such as ["n-1",3,7] or [3,7]. `position` is that of its first index.
+IndexRange range_at(const Json& stored_range, std::size_t position) {
+  if (!stored_range.is_array() || stored_range.size() != position + 2)
+    throw DecodeError("journal entry has a malformed index range");
+  const auto first = as_count(stored_range[position], "index range");
+  const auto last = as_count(stored_range[position + 1], "index range");
+  if (last < first || last >= constants::max_tasks)
+    throw DecodeError(
+        "journal entry has an index range that is reversed or exceeds the task limit");
   return {static_cast<std::uint32_t>(first), static_cast<std::uint32_t>(last)};
 }
 
@@ -83,7 +86,7 @@
   for (std::size_t i = 0; i < text.size(); ++i) {
     unsigned nibble = 0;
     const auto [stop, error] = std::from_chars(&text[i], &text[i] + 1, nibble, 16);
-    if (error != std::errc{}) throw DecodeError("bitmap is malformed");
+    if (error != std::errc{}) throw DecodeError("bitmap in the journal is not hexadecimal");
     for (std::size_t b = 0; b < bits_per_digit; ++b)
       out[i * bits_per_digit + b] = ((nibble >> b) & 1) != 0;
   }
@@ -140,9 +143,10 @@
 // --- decoding ---
 
 JournalEntry decode_machine_registered(const Json& entry) {
-  return MachineRegistered{text_at(entry, 1),  text_at(entry, 2),
-                           text_at(entry, 3),  as_flag(at(entry, 4), "entry"),
-                           count_at(entry, 5), WallTime{Seconds{as_amount(at(entry, 6), "entry")}}};
+  return MachineRegistered{
+      text_at(entry, 1),  text_at(entry, 2),
+      text_at(entry, 3),  as_flag(element_at(entry, 4), "journal entry"),
+      count_at(entry, 5), WallTime{Seconds{as_amount(element_at(entry, 6), "journal entry")}}};
 }
 
 JournalEntry decode_incarnation_started(const Json& entry) {
@@ -152,12 +156,13 @@
 JournalEntry decode_machine_removed(const Json& entry) { return MachineRemoved{text_at(entry, 1)}; }
 
 JournalEntry decode_image_cached(const Json& entry) {
-  return ImageCached{text_at(entry, 1), {text_at(entry, 2), as_amount(at(entry, 3), "entry")}};
+  return ImageCached{text_at(entry, 1),
+                     {text_at(entry, 2), as_amount(element_at(entry, 3), "journal entry")}};
 }
 
 JournalEntry decode_task_placed(const Json& entry) {
   TaskPlaced out{text_at(entry, 1), count_at(entry, 2), {}};
-  at(entry, 3);  // one run at least
+  element_at(entry, 3);  // Throws when there is no range.
   for (std::size_t i = 3; i < entry.size(); ++i) {
     const IndexRange range = range_at(entry[i], 1);
     out.placed.push_back({text_at(entry[i], 0), range});
@@ -175,16 +180,17 @@
 
 JournalEntry decode_finished_bitmap(const Json& entry) {
   FinishedBitmap out{text_at(entry, 1), count_at(entry, 2), from_hex(text_at(entry, 3))};
-  // The last digit may have unused bits.
+  // The last digit may contain unused bits.
   if (out.first + out.bits.size() > constants::max_tasks + bits_per_digit)
-    throw DecodeError("bitmap out of range");
+    throw DecodeError("bitmap in the journal exceeds the task limit");
   return out;
 }
 
 JournalEntry decode_rental_requested(const Json& entry) {
-  return RentalRequested{text_at(entry, 1),
-                         {text_at(entry, 2), text_at(entry, 3), as_flag(at(entry, 4), "entry"),
-                          static_cast<int>(count_at(entry, 5))}};
+  return RentalRequested{
+      text_at(entry, 1),
+      {text_at(entry, 2), text_at(entry, 3), as_flag(element_at(entry, 4), "journal entry"),
+       static_cast<int>(count_at(entry, 5))}};
 }
 
 JournalEntry decode_rental_settled(const Json& entry) { return RentalSettled{text_at(entry, 1)}; }
@@ -218,7 +224,7 @@
   const std::string letter = text_at(value, 0);
   for (const Decoder& each : decoders)
     if (each.letter == letter) return each.decode(value);
-  throw DecodeError("journal entry of an unknown kind");
+  throw DecodeError("journal entry has an unknown kind");
 }
 
 }  // namespace poppystile::storage
--- a/src/storage/journal_codec.hpp
+++ b/src/storage/journal_codec.hpp
@@ -1,6 +1,6 @@
 /// \file
 /// The stored form of journal entries: a JSON list that begins with the letter of the entry's kind.
-/// The only place that knows these letters.
+/// The letters are used only in journal_codec.cpp.
 #pragma once
 
 #include "storage/journal_entry.hpp"
@@ -8,11 +8,11 @@
 
 namespace poppystile::storage {
 
-/// The stored form; `decode_entry` reads it back.
+/// Returns the stored form of an entry, as read by `decode_entry`.
 Json encode(const JournalEntry& entry);
 
-/// Throws `DecodeError` for an entry of an unknown kind, a missing element or one that is out of
-/// range.
+/// Throws `DecodeError` if the entry is of an unknown kind, or an element is missing, of the wrong
+/// type or out of range.
 JournalEntry decode_entry(const Json& value);
 
 }  // namespace poppystile::storage
--- a/src/storage/journal_entry.cpp
+++ b/src/storage/journal_entry.cpp
@@ -4,7 +4,8 @@
 
 namespace {
 
-// Elements of the stored list in front of the ranges: letter, job and, of a placement, attempt.
+// Number of elements before the ranges in the stored list: letter, job and, for `TaskPlaced`,
+// attempt.
 constexpr std::size_t placed_header_elements = 3;
 constexpr std::size_t ended_header_elements = 2;
 
@@ -21,7 +22,7 @@
 template <typename Range>
 bool merge_ranges(std::vector<Range>& last, const std::vector<Range>& next,
                   std::size_t header_elements, std::size_t max_elements) {
-  // Kept short, so that a record can always be cut between two entries.
+  // Entries stay short, so that a record can always be split between two entries.
   if (header_elements + last.size() >= max_elements) return false;
   if (!extend(last.back(), next.back())) last.push_back(next.back());
   return true;
--- a/src/storage/journal_entry.hpp
+++ b/src/storage/journal_entry.hpp
@@ -1,10 +1,10 @@
 /// \file
-/// The entries of the leader's journal: what a leader must leave to its successor besides the job
-/// records. Entries are replayed in the order in which they were appended (replayed_state.hpp); how
-/// they are stored is the codec's (journal_codec.hpp).
+/// The entries of the leader's journal: the state that a leader's successor needs besides the job
+/// records. Entries are replayed in the order in which they were appended (replayed_state.hpp);
+/// journal_codec.hpp defines their stored form.
 ///
-/// One record of the journal carries whatever happened since the one before, on any number of
-/// machines, so the number of changes in the state service does not grow with the fleet.
+/// One record of the journal contains all entries appended since the previous record, for any
+/// number of machines, so the number of changes in the state service does not grow with the fleet.
 #pragma once
 
 #include <cstddef>
@@ -27,34 +27,35 @@
   static IndexRange single(std::uint32_t index) { return {index, index}; }
 };
 
-/// Consecutive tasks that were placed on one machine.
+/// Consecutive tasks of a job that were placed on one machine.
 struct MachineRange {
   std::string machine;
   IndexRange indices;
 };
 
-/// A machine joined the fleet, or is described anew by a snapshot.
+/// A machine joined the fleet, or is part of a snapshot.
 struct MachineRegistered {
   std::string machine;
   std::string type;
   std::string zone;
   bool spot = false;
-  std::uint64_t incarnation = 0;  // the newest that is known; 0: its worker never reported
+  std::uint64_t incarnation = 0;  // The newest known; 0: no heartbeat was received.
   WallTime rented_at;
 };
 
-/// The machine's worker started again: nothing of its earlier incarnations is left on the machine.
+/// The machine's worker began a new incarnation: tasks of earlier incarnations have left the
+/// machine.
 struct IncarnationStarted {
   std::string machine;
   std::uint64_t incarnation = 0;
 };
 
-/// The machine was released, failed or taken back: nothing of it is left.
+/// The machine was released, failed or was reclaimed by the cloud: all its tasks have left it.
 struct MachineRemoved {
   std::string machine;
 };
 
-/// The machine has an image in its cache, and used it last.
+/// The machine has the image in its cache and used it most recently.
 struct ImageCached {
   std::string machine;
   CachedImage image;
@@ -67,7 +68,7 @@
   std::vector<MachineRange> placed;
 };
 
-/// Tasks are proven to be off their machines without having finished: they wait again.
+/// Tasks are proven to have left their machines without finishing: they wait for a new placement.
 struct PlacementEnded {
   std::string job;
   std::vector<IndexRange> tasks;
@@ -79,21 +80,21 @@
   std::vector<IndexRange> tasks;
 };
 
-/// The finished tasks of a job among `bits.size()` consecutive ones; the tasks whose bit is not set
-/// are left as they are.
+/// The finished tasks among `bits.size()` consecutive tasks of a job. Tasks whose bit is not set
+/// are unaffected.
 struct FinishedBitmap {
   std::string job;
-  std::uint64_t first = 0;  // index of the task of the first bit
+  std::uint64_t first = 0;  // Task index of the first bit.
   std::vector<bool> bits;
 };
 
-/// Machines are about to be asked for under this name.
+/// Machines will be requested from the cloud under this name.
 struct RentalRequested {
   std::string name;
   RentalRecord rental;
 };
 
-/// The request of this name needs no more attention: it was answered, or given up.
+/// The rental request with this name is complete: it was answered or abandoned.
 struct RentalSettled {
   std::string name;
 };
@@ -102,15 +103,16 @@
     std::variant<MachineRegistered, IncarnationStarted, MachineRemoved, ImageCached, TaskPlaced,
                  PlacementEnded, TaskFinished, FinishedBitmap, RentalRequested, RentalSettled>;
 
-/// What one entry may carry at most, so that it fits a record.
+/// Largest size of one entry, so that it fits into a record.
 struct EntryLimits {
-  std::size_t max_elements = 1;      // of the stored list, with its letter, job and attempt
-  std::size_t max_bitmap_tasks = 4;  // of a `FinishedBitmap`
+  std::size_t max_elements = 1;  // Elements of the stored list, including letter, job and attempt.
+  std::size_t max_bitmap_tasks = 4;  // Bits of a `FinishedBitmap`.
 };
 
-/// Adds to `last` what `next` says when one entry can carry both: placements of the same job and
-/// attempt, ends or finishes of the same job. `next` carries one range.
-/// Returns false, and changes nothing, when one entry cannot carry both.
+/// Merges `next` into `last` if both are `TaskPlaced` of the same job and attempt, or both
+/// `PlacementEnded` or both `TaskFinished` of the same job, and `last` has fewer than
+/// `max_elements` elements in its stored list. `next` must contain exactly one range. Returns
+/// false, and leaves `last` unchanged, if they were not merged.
 bool merge_entries(JournalEntry& last, const JournalEntry& next, std::size_t max_elements);
 
 }  // namespace poppystile::storage
--- a/src/storage/journal_records.cpp
+++ b/src/storage/journal_records.cpp
@@ -8,15 +8,16 @@
 
 namespace {
 
-// The form of the journal. The first version's records had none of it and other keys.
-constexpr std::uint64_t form = 2;
+// Version of the journal's format. The first program version had no journal and used other keys.
+constexpr std::uint64_t format_version = 2;
 
-// Areas of keys that snapshots use in turn.
+// Areas of keys that consecutive snapshots use in turn.
 constexpr std::uint64_t snapshot_areas = 2;
 
-void check_form(const Json& value) {
-  if (!value.is_object()) throw DecodeError("record is not an object");
-  if (need_count(value, "v") != form) throw DecodeError("record of an unknown form");
+void check_format_version(const Json& value) {
+  if (!value.is_object()) throw DecodeError("journal record is not an object");
+  if (need_count(value, "v") != format_version)
+    throw DecodeError("journal record has an unknown format version");
 }
 
 }  // namespace
@@ -32,9 +33,9 @@
 
 std::string encode_chunk(std::uint64_t number, std::uint64_t token,
                          const std::vector<std::string>& entries) {
-  // The entries are valid JSON texts already; only the list around them is written here.
-  const std::string frame = Json{{"v", form}, {"n", number}, {"t", token}}.dump();
-  std::string out = frame.substr(0, frame.size() - 1) + ",\"e\":[";
+  // The entries are JSON text already, so they are inserted as they are.
+  const std::string header = Json{{"v", format_version}, {"n", number}, {"t", token}}.dump();
+  std::string out = header.substr(0, header.size() - 1) + ",\"e\":[";
   for (std::size_t i = 0; i < entries.size(); ++i) {
     if (i > 0) out += ',';
     out += entries[i];
@@ -43,21 +44,21 @@
 }
 
 JournalChunk decode_chunk(const Json& value) {
-  check_form(value);
+  check_format_version(value);
   JournalChunk out{need_count(value, "n"), need_count(value, "t"), {}};
   for (const Json& each : need_list(value, "e")) out.entries.push_back(each);
   return out;
 }
 
 Json encode(const JournalHead& head) {
-  return {{"v", form},
+  return {{"v", format_version},
           {"gen", head.generation},
           {"parts", head.snapshot_chunks},
           {"from", head.first_segment}};
 }
 
 JournalHead decode_head(const Json& value) {
-  check_form(value);
+  check_format_version(value);
   return {need_count(value, "gen"), need_count(value, "parts"), need_count(value, "from")};
 }
 
--- a/src/storage/journal_replay.cpp
+++ b/src/storage/journal_replay.cpp
@@ -25,7 +25,7 @@
   } else if (key.starts_with(keys::journal_snapshots)) {
     add_snapshot_chunk(key, value);
   } else {
-    throw DecodeError("unknown record in the journal");
+    throw DecodeError("journal record has an unknown key");
   }
 }
 
@@ -34,7 +34,7 @@
   std::uint64_t number = 0;
   const char* end = key.data() + key.size();
   if (std::from_chars(key.data() + slash + 1, end, number).ptr != end)
-    throw DecodeError("snapshot key is malformed");
+    throw DecodeError("key of a journal snapshot chunk is malformed");
   auto chunk = decode_chunk(value);
   snapshots_[{chunk.number, number}] = std::move(chunk.entries);
 }
@@ -44,12 +44,12 @@
   if (empty()) return out;
   for (std::uint64_t chunk = 0; chunk < head_.snapshot_chunks; ++chunk) {
     const auto found = snapshots_.find({head_.generation, chunk});
-    if (found == snapshots_.end()) throw DecodeError("part of the snapshot is missing");
+    if (found == snapshots_.end()) throw DecodeError("chunk of the journal snapshot is missing");
     apply_all(out, found->second);
   }
   std::uint64_t expected = head_.first_segment;
   for (auto it = segments_.lower_bound(expected); it != segments_.end(); ++it, ++expected) {
-    if (it->first != expected) throw DecodeError("segment of the journal is missing");
+    if (it->first != expected) throw DecodeError("journal segment is missing");
     apply_all(out, it->second);
   }
   return out;
--- a/src/storage/journal_replay.hpp
+++ b/src/storage/journal_replay.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Puts the journal's records in order and replays them.
+/// Orders the journal's records and replays them.
 #pragma once
 
 #include <cstdint>
@@ -13,24 +13,24 @@
 
 namespace poppystile::storage {
 
-/// Collects the records that a leader finds under `journal/`, in any order.
+/// Collects the records stored under `journal/`, in any order, and replays them.
 class JournalReplay {
  public:
-  /// Throws `DecodeError` when the record cannot be read; then nothing of the journal may be
-  /// believed.
+  /// Adds one record. Throws `DecodeError` when the key is unknown or the value malformed; the
+  /// journal must not be used then.
   void add(const std::string& key, const Json& value);
 
-  /// The snapshot that counts, then the segments after it. Throws `DecodeError` when a record of
-  /// these is missing or an entry of theirs cannot be read.
+  /// Replays the current snapshot, then the segments after it. Throws `DecodeError` when one of
+  /// these records is missing or contains an entry that cannot be decoded.
   ReplayedState replay() const;
 
-  /// Whether there is nothing to replay: no snapshot counts and there is no segment.
+  /// Whether there is nothing to replay: neither a current snapshot nor a segment.
   bool empty() const { return head_.generation == 0 && segments_.empty(); }
 
-  /// Without a stored head every segment from the first on counts.
+  /// The stored head; if there is none, a head without a snapshot whose first segment is 1.
   const JournalHead& head() const { return head_; }
 
-  /// The number of the newest segment; 0: there is none.
+  /// The number of the newest segment, or 0 if there is none.
   std::uint64_t last_segment() const { return segments_.empty() ? 0 : segments_.rbegin()->first; }
 
  private:
@@ -43,7 +43,7 @@
   void add_snapshot_chunk(const std::string& key, const Json& value);
 
   JournalHead head_;
-  std::map<std::uint64_t, std::vector<Json>> segments_;  // by number
+  std::map<std::uint64_t, std::vector<Json>> segments_;  // By segment number.
   std::map<SnapshotChunkId, std::vector<Json>> snapshots_;
 };
 
--- a/src/storage/records.cpp
+++ b/src/storage/records.cpp
@@ -14,8 +14,8 @@
 constexpr std::uint64_t version = 1;
 
 void check_version(const Json& value) {
-  if (!value.is_object()) throw DecodeError("record is not an object");
-  if (need_count(value, "v") != version) throw DecodeError("record of an unknown version");
+  if (!value.is_object()) throw DecodeError("stored record is not an object");
+  if (need_count(value, "v") != version) throw DecodeError("stored record has an unknown version");
 }
 
 }  // namespace
--- a/src/storage/records.hpp
+++ b/src/storage/records.hpp
@@ -1,7 +1,7 @@
-// The records kept in the state service: their keys, and the codec of their values.
+// The records in the state service: their keys, and how their values are encoded and decoded.
 //
-// Everything that every controller needs to see sits under `shared/`, so that one watch carries
-// it; what only the leader needs is in its journal (journal_entry.hpp).
+// Records that every controller reads have keys under `shared/`, so that one watch reports all
+// their changes. State that only the leader needs is in its journal (journal_entry.hpp).
 #pragma once
 
 #include <cstdint>
@@ -29,12 +29,13 @@
 inline const std::string journal_head = "journal/head";
 inline const std::string journal_segments = "journal/log/";
 inline const std::string journal_snapshots = "journal/snap/";
-// Of the first version, which kept one record for each machine.
+// Used by the first version, which stored one record for each machine.
 inline const std::string legacy_machines = "machine/";
 }  // namespace keys
 
 inline std::string job_key(const std::string& id) { return keys::jobs + id; }
 inline std::string final_record_key(const std::string& id) { return keys::over + id; }
+/// The elected leader and its fencing token.
 struct LeaderRecord {
   std::string name;
   std::uint64_t token = 0;
@@ -51,6 +52,7 @@
   double gb = 0;
 };
 
+/// A request to the cloud for `count` machines of one type.
 struct RentalRecord {
   std::string type;
   std::string zone;
@@ -58,12 +60,13 @@
   int count = 0;
 };
 
-// Encoders give the value; decoders throw DecodeError, also for a version they do not know.
+// Encoders return the stored value. Decoders throw `DecodeError` when the value is malformed or of
+// an unknown version.
 Json encode(const LeaderRecord& record);
 Json encode(const JobRecord& record);
-/// The record once cancelled. One that was stored under a higher limit than `max_bytes` leaves out
-/// the allowed types, which no cancelled job needs any more: so it can be replaced at any limit
-/// that the service knows.
+/// The job's record marked as cancelled. If it would be longer than `max_bytes`, because the job
+/// was stored while the value limit was higher, it omits the job's allowed machine types, which a
+/// cancelled job does not need: the record can then be replaced at any limit that is supported.
 Json encode_cancelled(JobRecord record, std::size_t max_bytes);
 Json encode_token(std::uint64_t token);
 Json encode_final_state(protocol::JobState state);
--- a/src/storage/replayed_state.hpp
+++ b/src/storage/replayed_state.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// What replaying the journal gives: the machines, placements and rentals that a former leader
-/// left.
+/// The result of replaying the journal: the machines, placements, finished tasks and unsettled
+/// rental requests recorded by former leaders.
 #pragma once
 
 #include <cstdint>
@@ -22,8 +22,8 @@
 };
 
 struct ReplayedJob {
-  std::map<std::uint32_t, ReplayedPlacement> placed;  // by task index
-  std::vector<bool> finished;                         // may end before the job's last task
+  std::map<std::uint32_t, ReplayedPlacement> placed;  // By task index.
+  std::vector<bool> finished;                         // By task index; missing elements are false.
 
   bool is_finished(std::uint32_t index) const { return index < finished.size() && finished[index]; }
 };
@@ -32,20 +32,21 @@
   std::string type;
   std::string zone;
   bool spot = false;
-  std::uint64_t incarnation = 0;  // 0: never reported
+  std::uint64_t incarnation = 0;  // 0: no heartbeat was received.
   WallTime rented_at;
-  std::vector<CachedImage> images;                        // least recently used first
-  std::set<std::pair<std::string, std::uint32_t>> tasks;  // job and task index
+  std::vector<CachedImage> images;                        // Least recently used first.
+  std::set<std::pair<std::string, std::uint32_t>> tasks;  // Job and task index.
 };
 
-/// Replays entries one by one. A placement is in both its job's and its machine's members.
+/// Replays entries one at a time. Each placement is both in `placed` of its job and in `tasks` of
+/// its machine.
 struct ReplayedState {
   std::map<std::string, ReplayedMachine> machines;
   std::map<std::string, ReplayedJob> jobs;
-  std::map<std::string, RentalRecord> rentals;
+  std::map<std::string, RentalRecord> rentals;  // Unsettled requests by name.
 
-  /// Entries that were applied before may be applied once more if all that follow them are, in
-  /// their order: the result is the same.
+  /// Applies one entry. Entries that were applied before may be applied again if all entries that
+  /// followed them are applied again, too, in the same order: the result is the same.
   void apply(const JournalEntry& entry);
 
  private:
