--- a/tests/unit/cluster_state_test.cpp
+++ b/tests/unit/cluster_state_test.cpp
@@ -28,7 +28,7 @@
   Job& job = cluster_state.jobs["req-1"];
 };
 
-TEST_F(ClusterStateTest, APlacementUsesItsMachineAndTeam) {
+TEST_F(ClusterStateTest, PlacingATaskAddsToMachineAndTeamUsage) {
   cluster_state.place(machine, job, 7, SteadyTime{});
   EXPECT_EQ(machine.used.cpus, 2);
   EXPECT_EQ(cluster_state.teams["vision"].used.cpus, 2);
@@ -37,7 +37,7 @@
   EXPECT_EQ(machine.find("req-1", 0, 8), nullptr);
 }
 
-TEST_F(ClusterStateTest, ResourcesAreReleasedOnce) {
+TEST_F(ClusterStateTest, ReleasingResourcesTwiceSubtractsThemOnce) {
   Placement& placement = cluster_state.place(machine, job, 7, SteadyTime{});
   placement.phase = PlacementPhase::running;
   job.running = 1;
@@ -48,7 +48,7 @@
   EXPECT_EQ(job.running, 0u);
 }
 
-TEST_F(ClusterStateTest, ATaskThatCameBackIsPlacedFirst) {
+TEST_F(ClusterStateTest, ARequeuedTaskIsPlacedFirst) {
   for (int i = 0; i < 2; ++i) cluster_state.place(machine, job, 7, SteadyTime{});
   job.requeue(0);
   EXPECT_EQ(job.waiting(), 2u);
@@ -65,7 +65,7 @@
   EXPECT_EQ(job.waiting(), 0u);
 }
 
-TEST_F(ClusterStateTest, AFailingJobMayPlaceAFewTasksOnly) {
+TEST_F(ClusterStateTest, AJobThatFailsEverywhereMayPlaceOnlyAFewTasks) {
   job.record.spec.tasks = 100;
   job.phases.resize(100);
   EXPECT_EQ(job.schedulable_tasks(), 100u);
@@ -84,7 +84,7 @@
   EXPECT_EQ(visited, std::vector<std::uint32_t>{1});
 }
 
-TEST_F(ClusterStateTest, AnAssemblingGangsTasksAreReplacedOnceAllMachinesReported) {
+TEST_F(ClusterStateTest, LostTasksOfAnAssemblingGangAreReplacedOnceAllMachinesReported) {
   cluster_state.place(machine, job, 7, SteadyTime{});
   job.gang.phase = GangAttempt::Phase::assembling;
   job.gang.placed_at = SteadyTime{Seconds{10}};
@@ -99,7 +99,7 @@
   EXPECT_FALSE(job.may_replace_tasks(now, Seconds{20}));
 }
 
-TEST_F(ClusterStateTest, TheLeastRecentlyUsedImagesLeaveAFullCache) {
+TEST_F(ClusterStateTest, AFullCacheEvictsTheLeastRecentlyUsedImage) {
   machine.mark_image_used("a", 4);
   machine.mark_image_used("b", 4);
   machine.mark_image_used("a", 4);
--- a/tests/unit/fake_clock.hpp
+++ b/tests/unit/fake_clock.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Clocks that a test sets by hand, for classes that only read the time.
+/// A runtime whose time is set by the test, for classes that only read the time.
 #pragma once
 
 #include <functional>
@@ -8,7 +8,7 @@
 
 namespace poppystile::coordination {
 
-/// Both clocks show `elapsed`; timers never fire.
+/// Steady and wall time are both `elapsed` seconds after their epochs; timers never fire.
 class FakeClock : public transport::Runtime {
  public:
   SteadyTime now() const override { return SteadyTime{elapsed}; }
--- a/tests/unit/journal_codec_test.cpp
+++ b/tests/unit/journal_codec_test.cpp
@@ -14,7 +14,7 @@
 
 constexpr std::size_t max_elements = 64;
 
-std::string text(const JournalEntry& entry) { return encode(entry).dump(); }
+std::string encoded(const JournalEntry& entry) { return encode(entry).dump(); }
 
 TaskPlaced placed(const std::string& machine, std::uint32_t index, std::uint64_t attempt = 7) {
   return {"req-1", attempt, {{machine, IndexRange::single(index)}}};
@@ -25,11 +25,11 @@
   for (const auto& each : entries)
     if (merged.empty() || !merge_entries(merged.back(), each, max)) merged.push_back(each);
   std::string out;
-  for (const auto& each : merged) out += text(each);
+  for (const auto& each : merged) out += encoded(each);
   return out;
 }
 
-TEST(JournalCodecTest, EveryKindIsReadBackAsItWasWritten) {
+TEST(JournalCodecTest, EveryKindOfEntryRoundTrips) {
   const std::vector<JournalEntry> entries = {
       MachineRegistered{"n-1", "g", "a", true, 3, wall_at(5.25)},
       IncarnationStarted{"n-1", 4},
@@ -43,13 +43,13 @@
       RentalSettled{"h-1-1"}};
   ASSERT_EQ(entries.size(), std::variant_size_v<JournalEntry>);
   for (const auto& each : entries) {
-    const JournalEntry read = decode_entry(Json::parse(text(each)));
+    const JournalEntry read = decode_entry(Json::parse(encoded(each)));
     EXPECT_EQ(read.index(), each.index());
-    EXPECT_EQ(text(read), text(each));
+    EXPECT_EQ(encoded(read), encoded(each));
   }
 }
 
-TEST(JournalCodecTest, RefusesWhatItDoesNotUnderstand) {
+TEST(JournalCodecTest, MalformedEntriesAreRejected) {
   for (const char* stored :
        {R"({})", R"([])", R"(["m"])", R"(["z","n-1"])", R"(["s","n-1"])", R"(["s","n-1",-1])",
         R"(["e","req-1",[4,2]])", R"(["e","req-1",[1]])", R"(["b","req-1",0,"xy"])",
@@ -72,12 +72,12 @@
   EXPECT_EQ(merge_all({MachineRemoved{"n-1"}, MachineRemoved{"n-1"}}), R"(["g","n-1"]["g","n-1"])");
 }
 
-TEST(JournalCodecTest, AnEntryTakesNoMoreThanTheMostElements) {
+TEST(JournalCodecTest, AMergedEntryNeverExceedsTheElementLimit) {
   const std::vector<JournalEntry> ends = {PlacementEnded{"req-1", {{0, 0}}},
                                           PlacementEnded{"req-1", {{2, 2}}},
                                           PlacementEnded{"req-1", {{3, 3}}}};
   EXPECT_EQ(merge_all(ends, 5), R"(["e","req-1",[0,0],[2,3]])");
-  // A full entry is not extended either.
+  // In a full entry, the last range is not extended either.
   EXPECT_EQ(merge_all(ends, 4), R"(["e","req-1",[0,0],[2,2]]["e","req-1",[3,3]])");
   EXPECT_EQ(merge_all(ends, 1), R"(["e","req-1",[0,0]]["e","req-1",[2,2]]["e","req-1",[3,3]])");
 }
--- a/tests/unit/production_forms_test.cpp
+++ b/tests/unit/production_forms_test.cpp
@@ -1,8 +1,8 @@
 /// \file
-/// Stored and peer forms of arrays and services, as the version in production (commit 94473f9,
-/// `production` in deploy/service.toml) writes them. Both versions serve side by side during an
-/// upgrade and each works on the other's data, so this version must read these samples and write
-/// the same bytes. The samples were recorded and checked with that commit's sources.
+/// Stored records and peer frames in the exact form that the version in production (commit 94473f9,
+/// `production` in deploy/service.toml) writes. During an upgrade both versions run at the same
+/// time and read each other's data, so this version must read these samples and write the same
+/// bytes. The samples were recorded and verified with the sources of that commit.
 #include <gtest/gtest.h>
 
 #include "protocol/peer_messages.hpp"
@@ -29,7 +29,7 @@
     R"("mark_cost_s":0.0,"mark_every_s":0.0,"one_zone":false,"pieces":1,"pull_gb":2.5,)"
     R"("ram_gb":6.7,"rank":"production","scatter":false,"shape":"standing"},"v":1})";
 
-TEST(ProductionForms, JobRecordsAreReadAndWrittenAlike) {
+TEST(ProductionForms, JobRecordsKeepTheirStoredForm) {
   for (const char* stored : {array_record, service_record}) {
     const storage::JobRecord record = storage::decode_job(Json::parse(stored));
     EXPECT_EQ(storage::encode(record).dump(), stored);
@@ -40,7 +40,7 @@
   EXPECT_EQ(storage::decode_job(Json::parse(service_record)).spec.kind, protocol::JobKind::service);
 }
 
-TEST(ProductionForms, SmallRecordsAreWrittenAlike) {
+TEST(ProductionForms, SmallRecordsAndKeysKeepTheirStoredForm) {
   EXPECT_EQ(storage::encode(storage::LeaderRecord{"stile-1", 41}).dump(),
             R"({"name":"stile-1","token":41,"v":1})");
   EXPECT_EQ(storage::encode_token(41).dump(), R"({"token":41,"v":1})");
@@ -61,7 +61,7 @@
     R"(["d","req-000412",[1,1]],["b","req-000412",4,"b0"],)"
     R"(["h","h-41-1","g8","a",true,12],["x","h-41-1"],["g","n-000002"]]})";
 
-TEST(ProductionForms, JournalEntriesAreWrittenAlike) {
+TEST(ProductionForms, JournalRecordsKeepTheirStoredForm) {
   using namespace storage;
   const std::vector<JournalEntry> entries = {
       MachineRegistered{"n-000001", "g8", "a", false, 0, wall_at(1700000000.5)},
@@ -74,24 +74,24 @@
       RentalRequested{"h-41-1", {"g8", "a", true, 12}},
       RentalSettled{"h-41-1"},
       MachineRemoved{"n-000002"}};
-  std::vector<std::string> texts;
-  texts.reserve(entries.size());
-  for (const JournalEntry& each : entries) texts.push_back(encode(each).dump());
-  EXPECT_EQ(encode_chunk(8, 41, texts), segment);
+  std::vector<std::string> encoded_entries;
+  encoded_entries.reserve(entries.size());
+  for (const JournalEntry& each : entries) encoded_entries.push_back(encode(each).dump());
+  EXPECT_EQ(encode_chunk(8, 41, encoded_entries), segment);
   EXPECT_EQ(encode(JournalHead{3, 2, 8}).dump(), R"({"from":8,"gen":3,"parts":2,"v":2})");
   EXPECT_EQ(segment_key(5), "journal/log/5");
   EXPECT_EQ(snapshot_key(3, 1), "journal/snap/1/1");
 }
 
-TEST(ProductionForms, AJournalIsReadWhole) {
+TEST(ProductionForms, AStoredJournalIsReplayed) {
   using namespace storage;
-  JournalReplay reader;
-  reader.add(keys::journal_head, Json::parse(R"({"from":8,"gen":3,"parts":1,"v":2})"));
-  reader.add("journal/snap/1/0",
-             Json::parse(R"({"n":3,"t":40,"v":2,"e":[["m","n-000001","g8","a",false,2,1.7e9],)"
-                         R"(["p","req-000412",671088641,["n-000001",2,3]]]})"));
-  reader.add("journal/log/8", Json::parse(segment));
-  const ReplayedState replayed = reader.replay();
+  JournalReplay journal;
+  journal.add(keys::journal_head, Json::parse(R"({"from":8,"gen":3,"parts":1,"v":2})"));
+  journal.add("journal/snap/1/0",
+              Json::parse(R"({"n":3,"t":40,"v":2,"e":[["m","n-000001","g8","a",false,2,1.7e9],)"
+                          R"(["p","req-000412",671088641,["n-000001",2,3]]]})"));
+  journal.add("journal/log/8", Json::parse(segment));
+  const ReplayedState replayed = journal.replay();
   ASSERT_TRUE(replayed.machines.contains("n-000001"));
   EXPECT_EQ(replayed.machines.at("n-000001").incarnation, 3u);
   EXPECT_EQ(replayed.machines.at("n-000001").images.at(0).name, "img-07");
@@ -111,7 +111,7 @@
   return out;
 }
 
-TEST(ProductionForms, PeerFramesAreWrittenAlike) {
+TEST(ProductionForms, PeerFramesKeepTheirForm) {
   protocol::PeerStatus status;
   status.name = "stile-1";
   status.incarnation = 77;
--- a/tests/unit/records_test.cpp
+++ b/tests/unit/records_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Stored records of jobs.
+/// The stored form of job records.
 #include "storage/records.hpp"
 
 #include <gtest/gtest.h>
@@ -17,7 +17,7 @@
 using protocol::Json;
 using samples::submission;
 
-TEST(RecordsTest, DecodesAJobAndRefusesAnUnknownVersion) {
+TEST(RecordsTest, DecodesAJobRecordAndRejectsAnUnknownVersion) {
   const storage::JobRecord record{protocol::parse_submission(protocol::parse_object(submission)),
                                   wall_at(1.7e9), true};
   Json value = storage::encode(record);
@@ -26,9 +26,9 @@
   EXPECT_THROW(storage::decode_job(value), DecodeError);
 }
 
-// A record stored under a higher limit must be replaceable under a lower one, or its job could not
-// be cancelled any more.
-TEST(RecordsTest, ShortensACancelledJobToFitALowerLimit) {
+// A job record stored under a high value limit must still be replaceable after the limit was
+// lowered; otherwise its job could no longer be cancelled.
+TEST(RecordsTest, ACancelledJobRecordIsShortenedToFitALowerLimit) {
   storage::JobRecord record{protocol::parse_submission(protocol::parse_object(submission)),
                             wall_at(1.7e9), false};
   record.spec.types.emplace(100, std::string(30, 't'));
