--- a/src/constants.hpp
+++ b/src/constants.hpp
@@ -1,7 +1,7 @@
 // Every constant of the service, with its unit and, where it is not evident, the reason for its
 // value. No value is specific to one deployment; values that depend on a site come from its
-// settings. "PROTOCOL" is the specification of the interfaces between users, workers, the cloud,
-// the state service and the controllers.
+// settings. "PROTOCOL" is the specification of the interfaces to users, workers, the cloud and the
+// state service.
 #pragma once
 
 #include <chrono>
@@ -30,8 +30,8 @@
 // Calls to one remote service that may wait for a connection; further calls fail at once.
 inline constexpr std::size_t client_backlog = 512;
 // Largest valid frame between peers. A status contains at most `max_advertised_jobs` counts of
-// about 60 bytes and `max_advertised_cancellations` job ids of about 42 bytes, if all
-// ids have the greatest length. A longer frame is invalid.
+// about 60 bytes and `max_advertised_cancellations` job ids of about 42 bytes, if all ids have the
+// greatest length.
 inline constexpr std::size_t max_peer_frame_bytes = 512 * 1024;
 // Incoming connections from peers. There are only a few peers, but some connections may be half
 // open.
@@ -100,9 +100,10 @@
 // Seconds for which a peer's status counts as current.
 inline constexpr Seconds max_peer_status_age{3.0};
 
-// Seconds over which heartbeats are counted to determine whether workers reach their leader. Peers
-// redirect a worker that does not about every 5 s (PROTOCOL: 4 s without a response, 1 s until it
-// tries the next controller), so the window includes each such worker. Far below a worker lease.
+// Seconds over which heartbeats are counted to determine whether workers reach their leader. A
+// worker that does not is redirected by a peer about every 5 s (PROTOCOL: 4 s without a response,
+// 1 s until it tries the next controller), so it is counted within the window. Far below a worker
+// lease.
 inline constexpr Seconds reachability_window{6.0};
 // A leader resigns when peers redirect more than this many times as many heartbeats as it receives
 // directly. A fault of one zone or of some machines does not reach this ratio.
@@ -142,7 +143,8 @@
 inline constexpr std::size_t max_name_bytes = 200;
 
 // --- records ---
-// Fraction of the state service's value limit that a value may fill as this program encodes it.
+// Fraction of the state service's value limit that a value may fill as this program encodes it. The
+// rest allows for another encoder's white space and for the frame around journal entries.
 inline constexpr double value_fill_share = 0.9;
 // Changes that the state service must at least allow in one transaction: a final record takes two,
 // since it replaces the job's record.
@@ -175,8 +177,8 @@
 // Elements of one stored journal entry, so that a record can be split between entries; fewer where
 // values must be small.
 inline constexpr std::size_t max_journal_entry_runs = 64;
-// The journal writes one transaction at most per 1 / (this fraction x the state service's changes
-// per second). At the usual limits this is about every 0.15 s, which a task's start also waits for.
+// Fraction of the state service's changes per second at which the journal sends transactions. At
+// the usual limits this is about one every 0.15 s, which the start of a task waits for, too.
 inline constexpr double journal_rate_share = 0.15;
 // Fraction of the state service's changes per second that the journal may use in total. Where
 // values are small its transactions contain many changes; without this limit the final records,
@@ -232,14 +234,15 @@
 inline constexpr double local_units = 1.0;
 inline constexpr double remote_units = 3.0;
 // Cost units; how far LABL's latency limit may rise above the lower bound at which it starts while
-// remote placement is still considered. Chosen by this project; the paper leaves it open.
+// remote placement is still considered. The paper leaves the value open. Default of the property
+// `planner.remote-offset-units`.
 inline constexpr double remote_offset_units = 1.0;
 // Shortest time in seconds between plans; a plan uses processor time that heartbeats need too.
 inline constexpr Seconds min_plan_interval{0.2};
-// In each period of `gang_reservation_period` seconds, capacity is reserved for
-// `gang_reservation_time` seconds for a gang that does not fit. Within 40 s, tasks of half a minute
-// free enough capacity for it. Single tasks may not wait 90 s beside free capacity and are placed
-// in the rest of the period.
+// Seconds; in the first `gang_reservation_time` of each `gang_reservation_period` since the
+// submission of a gang that does not fit, free capacity is reserved for it. Within 40 s, tasks of
+// half a minute free enough of it. Single tasks, which may not wait 90 s beside free capacity, are
+// placed in the rest of the period.
 inline constexpr Seconds gang_reservation_time{40.0};
 inline constexpr Seconds gang_reservation_period{55.0};
 // Fraction of the gang assembly timeout within which a lost task is replaced; after that, a new
@@ -300,8 +303,8 @@
 // cloud lists a machine that has failed after half a minute; one that hangs or is cut off may
 // return with its cached images.
 inline constexpr Seconds silence_grace{90.0};
-// Seconds over which the fleet keeps capacity for the highest demand; deleting a machine costs at
-// least 60 s of rent.
+// Seconds for which the fleet keeps capacity for the highest demand, since deleting a machine costs
+// at least 60 s of rent. Default of the property `fleet.idle-keep-s`.
 inline constexpr Seconds idle_keep{40.0};
 // Multiple of that highest demand for which capacity is kept, to have some for new work.
 inline constexpr double fleet_headroom = 1.1;
@@ -357,7 +360,8 @@
 // Relative surcharge on an offer's price when the whole fleet consists of that offer: no machine
 // type or zone should provide all capacity.
 inline constexpr double kind_spread = 0.3;
-// Fraction of the running services' tasks for which capacity is kept free or booting.
+// Fraction of the running services' tasks for which additional capacity is kept free or booting.
+// Default of the property `fleet.service-reserve`.
 inline constexpr double service_reserve = 0.12;
 
 }  // namespace poppystile::constants
