--- a/src/coordination/fleet/catalog_updater.cpp
+++ b/src/coordination/fleet/catalog_updater.cpp
@@ -39,7 +39,7 @@
     fetch_in_flight_ = false;
     if (!types) {
       if (types.error().reason == CloudError::Reason::malformed)
-        spdlog::info("catalog malformed why=\"{}\"", types.error().detail);
+        spdlog::info("catalog response malformed why=\"{}\"", types.error().detail);
       return;
     }
     catalog_.replace(*types);
@@ -48,12 +48,14 @@
   });
 }
 
-// So that a controller that starts while the cloud is down can still validate submissions.
+// Stores the catalog in the state service unless one is stored already. A controller that starts
+// while the cloud is unavailable validates submissions against the stored catalog.
 void CatalogUpdater::record_once() {
   if (shared_state_.catalog_version() != 0) return;
   const protocol::Json value = storage::encode_catalog(catalog_.types());
   if (value.dump().size() > settings_.state_limits.max_value_bytes())
-    return spdlog::error("catalog too large to be recorded types={}", catalog_.types().size());
+    return spdlog::error("catalog exceeds the state service's value limit, not recorded types={}",
+                         catalog_.types().size());
   protocol::Transaction transaction;
   transaction.conditions = {election_.fence(), {storage::keys::catalog, 0}};
   transaction.changes = {{storage::keys::catalog, value.dump(), 0}};
@@ -61,7 +63,7 @@
       transaction, RequestPriority::user, [this, value](const TransactionResult& result) {
         if (result.status == CallStatus::ok)
           return shared_state_.apply_response(storage::keys::catalog, value, result.revision);
-        fetched_at_ = {};  // fetched and recorded again
+        fetched_at_ = {};  // The next pass fetches and records the catalog again.
       });
 }
 
--- a/src/coordination/fleet/catalog_updater.hpp
+++ b/src/coordination/fleet/catalog_updater.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// Keeps the machine catalog up to date, and records it once for all controllers.
+/// Refreshes the machine catalog from the cloud, and stores it once in the state service for all
+/// controllers.
 #pragma once
 
 #include <vector>
@@ -14,20 +15,21 @@
 
 namespace poppystile::coordination {
 
-/// Fetches the catalog from the cloud while this controller leads. Keeps references to its
-/// arguments.
+/// Fetches the catalog from the cloud while this controller is the leader.
+/// The constructor's arguments must outlive this object.
 class CatalogUpdater {
  public:
   CatalogUpdater(transport::Runtime& runtime, CloudClient& cloud, MachineCatalog& catalog,
                  KeyValueClient& key_value_client, SharedStateCache& shared_state,
                  LeaderElection& election, const protocol::Settings& settings);
 
-  /// Starts from the recorded catalog if none has been fetched yet. Calls made before must have
-  /// been abandoned.
+  /// Starts a term as the leader, with the catalog stored in the state service if none has been
+  /// fetched yet. Cloud calls of the previous term must have been abandoned.
   void begin_term();
 
-  /// Fetches the catalog if it has not been fetched for `constants::catalog_refresh_interval` and
-  /// the cloud's rate limit allows a call.
+  /// Fetches the catalog if the last successful fetch is more than
+  /// `constants::catalog_refresh_interval` ago, no fetch is in flight, and the cloud's rate limit
+  /// allows a call.
   void refresh_if_due();
 
  private:
--- a/src/coordination/fleet/cloud_client.hpp
+++ b/src/coordination/fleet/cloud_client.hpp
@@ -18,46 +18,49 @@
 
 namespace poppystile::coordination {
 
-/// Why a call to the cloud brought no result.
+/// Why a call to the cloud returned no result.
 struct CloudError {
   enum class Reason : std::uint8_t {
-    refused,      ///< nothing was done: no capacity, or a request that the cloud does not accept
-    unavailable,  ///< no answer, or a failure; the request may have been carried out
-    malformed     ///< the request was carried out, and its response cannot be read
+    refused,      ///< No capacity, or a request that the cloud does not accept. Nothing was done.
+    unavailable,  ///< No response, or an error. The request may have been carried out.
+    malformed     ///< The request was carried out, but its response cannot be decoded.
   };
   Reason reason = Reason::unavailable;
-  int status = 0;      ///< of HTTP; 0: no answer
-  std::string detail;  ///< what was malformed
+  int status = 0;      ///< HTTP status; 0 without a response
+  std::string detail;  ///< Decoding error of a malformed response; otherwise empty
 };
 
 template <typename T>
 using CloudResult = tl::expected<T, CloudError>;
-/// Runs exactly once, except after `CloudClient::abandon_calls`.
+/// Called exactly once for each call, unless `CloudClient::abandon_calls` drops it.
 template <typename T>
 using CloudCallback = std::function<void(const CloudResult<T>&)>;
 
-/// The cloud as the leader uses it. `acquire_call` must have returned true before each call.
+/// Client of the cloud's API. `acquire_call` must have returned true before each call.
+/// The constructor's arguments must outlive this object.
 class CloudClient {
  public:
   CloudClient(transport::Runtime& runtime, transport::HttpCaller& http,
               const protocol::Settings& settings);
 
-  /// Takes one call from the leader's share of the cloud's rate limit; false if there is none left.
+  /// Takes one call from the leader's share of the cloud's rate limit. Returns false if the share
+  /// is used up.
   [[nodiscard]] bool acquire_call();
 
   /// Fetches machine types with their current prices.
   void fetch_catalog(const CloudCallback<std::vector<protocol::MachineType>>& done);
-  /// Requests machines; returns the ids of those that were granted, fewer than requested where
-  /// capacity is short. Repeating a call under the same name rents nothing more.
+  /// Requests machines. `done` receives the ids of the granted machines, fewer than `rental.count`
+  /// if capacity is short. Idempotent: a repeated call with the same `name` rents no more machines.
   void request_rental(const std::string& name, const storage::RentalRecord& rental,
                       const CloudCallback<std::vector<std::string>>& done);
-  /// Releases at most `constants::max_released` machines. May be repeated.
+  /// Releases at most `constants::max_released` machines, given by id. Idempotent.
   void release(const std::vector<std::string>& machines, const CloudCallback<void>& done);
-  /// Fetches the page of the machine list that begins after the machine `after`; empty: the first.
+  /// Fetches the page of the machine list that begins after the machine with the id `after`, or the
+  /// first page if `after` is empty.
   void fetch_machine_list(const std::string& after,
                           const CloudCallback<protocol::MachineList>& done);
 
-  /// Drops the callbacks of all calls made so far.
+  /// Drops the callbacks of all calls in flight; they are never called.
   void abandon_calls() { calls_.end(); }
 
  private:
--- a/src/coordination/fleet/demand_history.hpp
+++ b/src/coordination/fleet/demand_history.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The recent demand for cpus.
+/// The recent demand for CPUs.
 #pragma once
 
 #include <cstdint>
@@ -9,15 +9,15 @@
 
 namespace poppystile::coordination {
 
-/// Remembers the demand of each scaling pass for a while, so that a short lull does not shrink the
+/// Keeps the demand of recent scaling passes, so that a short drop in demand does not shrink the
 /// fleet.
 class DemandHistory {
  public:
   void clear() { samples_.clear(); }
-  /// Adds a sample, not earlier than the one before.
+  /// Adds a sample in thousandths of CPUs. `now` must not precede that of the previous sample.
   void record(SteadyTime now, std::int64_t cpus) { samples_.push_back({now, cpus}); }
-  /// The highest demand of the last `window` seconds, in thousandths of cpus; 0 without a sample.
-  /// Older samples are forgotten.
+  /// Returns the highest demand of the last `window`, in thousandths of CPUs, or 0 if it has no
+  /// sample. Discards older samples.
   std::int64_t peak(SteadyTime now, Seconds window);
 
  private:
--- a/src/coordination/fleet/fleet_manager.cpp
+++ b/src/coordination/fleet/fleet_manager.cpp
@@ -48,8 +48,9 @@
 }
 
 void FleetManager::run_pass() {
-  // Neither the cloud nor the worker checks who releases a machine: while this controller was
-  // paused or cut off from the state service, a successor may have given the machine new work.
+  // Neither the cloud nor a worker checks which controller releases a machine. While this
+  // controller was paused or cut off from the state service, a new leader may have placed tasks on
+  // the machine, so nothing is released without a valid lease.
   if (!registry_.is_active() || !election_.lease_holds()) return;
   catalog_updater_.refresh_if_due();
   if (catalog_.empty()) return;
@@ -72,7 +73,8 @@
   scale_out_.record_rentals(plan.rent, election_.token());
   demand_history_.record(now, plan.demand_cpus);
   scale_in_.apply_releases(plan);
-  // Until demand has been observed for a while, nobody knows which machines are too many.
+  // In the first `idle_keep` of a term, the peak of the demand history covers less than its window
+  // and would make needed machines appear idle.
   if (now - term_started_at_ >= properties_.idle_keep) scale_in_.apply_drains(plan);
 }
 
--- a/src/coordination/fleet/fleet_manager.hpp
+++ b/src/coordination/fleet/fleet_manager.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The leader's fleet: wires the parts that deal with the cloud, and orders their work in a pass.
+/// Connects the components that rent and release machines, and runs them in order in each pass.
 #pragma once
 
 #include <functional>
@@ -28,8 +28,8 @@
 
 namespace poppystile::coordination {
 
-/// Keeps the fleet as large as the work needs it, while this controller leads. Keeps references to
-/// its arguments.
+/// Adapts the size of the fleet to the demand while this controller is the leader.
+/// The constructor's arguments must outlive this object.
 class FleetManager {
  public:
   FleetManager(transport::Runtime& runtime, transport::HttpCaller& http,
@@ -37,28 +37,32 @@
                LeaderElection& election, JournalWriter& journal, const protocol::Settings& settings,
                const protocol::Properties& properties);
 
-  /// Starts a term as the leader, with the rentals that the journal shows as pending.
-  /// `cluster_state` must live until `end_term`.
+  /// Starts a term as the leader. `rentals` holds the rentals that are pending according to the
+  /// journal, by name. `cluster_state` must live until `end_term`.
   void begin_term(cluster::ClusterState& cluster_state,
                   const std::map<std::string, storage::RentalRecord>& rentals);
-  /// Ends the term; answers to calls under way are dropped.
+  /// Ends the term. Responses to calls in flight are ignored.
   void end_term();
-  /// Does what is due. Does nothing outside a term or without a valid leader lease.
+  /// Refreshes the catalog, rents, drains and releases machines, and fetches the machine list, each
+  /// if due. Does nothing outside a term or without a valid leader lease.
   void run_pass();
 
-  /// Rentals that are recorded and not settled yet, for a snapshot of the journal.
+  /// The pending rentals by name, for a snapshot of the journal.
   std::map<std::string, storage::RentalRecord> rental_records() const {
     return rental_log_.records();
   }
-  /// Whether this leader has released the machine in its present term.
+  /// Whether the cloud has confirmed the machine's release in the current term.
   bool released(const std::string& machine) const { return registry_.is_released(machine); }
-  /// Sets the fields of a machine that follow from its type; false if its type is not known.
+  /// Sets the fields of a machine that its type determines. Returns false, and changes nothing, if
+  /// the type is not in the catalog.
   bool apply_machine_type(cluster::Machine& machine) const {
     return catalog_.apply_machine_type(machine);
   }
-  /// Records a machine and adds it to the cluster state; null if its type is not known.
+  /// Records a machine in the journal and adds it to the cluster state. Returns null, and does
+  /// nothing, if its type is not in the catalog.
   cluster::Machine* admit(cluster::Machine machine) { return registry_.admit(std::move(machine)); }
-  /// Must be set before the first term. The handler's owner needs this object to be constructed.
+  /// Sets the handler for removed machines; required before the first term. It is no constructor
+  /// argument because constructing the handler's owner requires this object.
   void on_machine_removed(MachineRemovedHandler handler) {
     on_machine_removed_ = std::move(handler);
   }
--- a/src/coordination/fleet/inventory_reconciler.cpp
+++ b/src/coordination/fleet/inventory_reconciler.cpp
@@ -32,8 +32,8 @@
   if (is_page_due() && cloud_.acquire_call()) fetch_page();
 }
 
-// A large fleet has many pages. They are fetched one at a time, at a share of the cloud's rate
-// limit, so that rentals and releases are never crowded out.
+// The pages of a large fleet are fetched one at a time, at a share of the cloud's rate limit, which
+// leaves the other calls to rentals and releases.
 bool InventoryReconciler::is_page_due() const {
   if (page_in_flight_) return false;
   const Seconds page_pause{1 / (constants::list_call_share * settings_.cloud_rps)};
@@ -48,7 +48,7 @@
     last_page_at_ = runtime_.now();
     if (page) return on_page(*page);
     if (page.error().reason == CloudError::Reason::malformed)
-      spdlog::info("machine list malformed why=\"{}\"", page.error().detail);
+      spdlog::info("machine list response malformed why=\"{}\"", page.error().detail);
   });
 }
 
@@ -58,8 +58,8 @@
   page_after_ = has_next ? page.machines.back().id : "";
 }
 
-// A list lags and may be older than the one before: what it shows of a machine was true at some
-// time, what it does not show proves nothing. Only `failed` is final.
+// Machine lists are eventually consistent, and one may be older than the list fetched before it. An
+// entry was correct at some time; a missing entry proves nothing. Only the state `failed` is final.
 void InventoryReconciler::reconcile_listed(const ListedMachine& listed) {
   if (registry_.is_released(listed.id)) return;
   Machine* machine = registry_.find(listed.id);
@@ -70,9 +70,10 @@
   releaser_.schedule(*machine);
 }
 
-// Null if the list may be too old, or if the machine's type is not known.
+// Returns null if the list may be older than this term, or if the machine's type is not in the
+// catalog.
 Machine* InventoryReconciler::adopt(const ListedMachine& listed) {
-  // A list from a former leader's term may show machines that it has released since.
+  // A list from a previous leader's term may contain machines that the leader released afterwards.
   if (runtime_.now() - term_started_at_ < 2 * settings_.list_lag + constants::lease_margin)
     return nullptr;
   Machine machine;
--- a/src/coordination/fleet/inventory_reconciler.hpp
+++ b/src/coordination/fleet/inventory_reconciler.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Compares the cloud's list of machines with those that the leader knows.
+/// Compares the cloud's list of machines with the cluster state.
 #pragma once
 
 #include <string>
@@ -13,14 +13,16 @@
 
 namespace poppystile::coordination {
 
-/// Reads the machine list page by page, adopts machines that nobody knows, and releases failed
-/// ones. Keeps references to its arguments.
+/// Reads the machine list page by page, adopts machines that are missing from the cluster state,
+/// and schedules the release of failed machines.
+/// The constructor's arguments must outlive this object.
 class InventoryReconciler {
  public:
   InventoryReconciler(transport::Runtime& runtime, CloudClient& cloud, MachineRegistry& registry,
                       MachineReleaser& releaser, const protocol::Settings& settings);
 
-  /// Begins with the first page. Calls made before must have been abandoned.
+  /// Starts a term; the next page to be fetched is the first. Cloud calls of the previous term must
+  /// have been abandoned.
   void begin_term(SteadyTime term_started_at);
   /// Fetches the next page if it is due and the cloud's rate limit allows a call.
   void fetch_page_if_due();
@@ -37,7 +39,7 @@
   MachineRegistry& registry_;
   MachineReleaser& releaser_;
   const protocol::Settings& settings_;
-  std::string page_after_;  // the next page begins after this machine; empty: the first page
+  std::string page_after_;  // Id after which the next page begins; empty: first page
   bool page_in_flight_ = false;
   SteadyTime last_page_at_;
   SteadyTime term_started_at_;
--- a/src/coordination/fleet/machine_catalog.hpp
+++ b/src/coordination/fleet/machine_catalog.hpp
@@ -11,18 +11,18 @@
 
 namespace poppystile::coordination {
 
-/// The newest known machine types; empty until they have been read from anywhere.
+/// The machine types last read from the cloud or the state service; empty before the first read.
 class MachineCatalog {
  public:
   const std::vector<protocol::MachineType>& types() const { return types_; }
   bool empty() const { return types_.empty(); }
   void replace(std::vector<protocol::MachineType> types) { types_ = std::move(types); }
 
-  /// The type called `name`; null if it is not known.
+  /// The type called `name`, or null if it is not in the catalog.
   const protocol::MachineType* find(const std::string& name) const;
 
-  /// Sets the fields of a machine that follow from its type. Returns false, and changes nothing, if
-  /// its type is not known.
+  /// Sets the fields of a machine that its type determines. Returns false, and changes nothing, if
+  /// the type is not in the catalog.
   bool apply_machine_type(cluster::Machine& machine) const;
 
  private:
--- a/src/coordination/fleet/machine_registry.hpp
+++ b/src/coordination/fleet/machine_registry.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The machines that the leader knows, and those that it has released.
+/// The machines in the leader's cluster state, and the machines that it has released.
 #pragma once
 
 #include <set>
@@ -11,29 +11,29 @@
 
 namespace poppystile::coordination {
 
-/// Admits machines to the cluster state and the journal. Except for the constructor, `begin_term`
-/// and `is_active`, nothing may be called outside a term.
+/// Adds machines to the cluster state and records them in the journal. Outside a term, only
+/// `begin_term` and `is_active` may be called.
 class MachineRegistry {
  public:
   MachineRegistry(JournalWriter& journal, const MachineCatalog& catalog)
       : journal_(journal), catalog_(catalog) {}
 
-  /// `cluster_state` must live until `end_term`.
+  /// Starts a term without released machines. `cluster_state` must live until `end_term`.
   void begin_term(cluster::ClusterState& cluster_state);
   void end_term() { cluster_state_ = nullptr; }
   bool is_active() const { return cluster_state_ != nullptr; }
 
   cluster::ClusterState& cluster_state() { return *cluster_state_; }
-  /// The machine with this id; null if it is not known.
+  /// The machine with this id, or null if it is not in the cluster state.
   cluster::Machine* find(const std::string& id);
-  /// Records a machine and adds it to the cluster state. Returns null, and does nothing, if its
-  /// type is not in the catalog.
+  /// Records a machine in the journal and adds it to the cluster state. Returns null, and does
+  /// nothing, if its type is not in the catalog.
   cluster::Machine* admit(cluster::Machine machine);
 
-  /// Notes that the cloud has confirmed the release of a machine: late reports and lists must not
-  /// bring it back.
+  /// Marks a machine whose release the cloud has confirmed, so that a late heartbeat or an outdated
+  /// machine list does not add it again.
   void mark_released(const std::string& id) { released_.insert(id); }
-  /// Whether this leader has released the machine in its present term.
+  /// Whether the machine was marked as released in the current term.
   bool is_released(const std::string& id) const { return released_.contains(id); }
 
  private:
--- a/src/coordination/fleet/machine_releaser.hpp
+++ b/src/coordination/fleet/machine_releaser.hpp
@@ -14,23 +14,25 @@
 
 namespace poppystile::coordination {
 
-/// Told that the cloud has taken a machine back, so that everything on it is gone. Removes the
-/// machine from the cluster state.
+/// Called once the cloud has confirmed the release of a machine, which ends all tasks on it. Must
+/// remove the machine from the cluster state.
 using MachineRemovedHandler =
     std::function<void(cluster::Machine& machine, const std::string& reason)>;
 
-/// Machines on their way back to the cloud. One batch is under way at a time, and is repeated until
-/// the cloud confirms it. Keeps references to its arguments.
+/// Sends the releases of scheduled machines, one batch at a time, and repeats them until the cloud
+/// confirms them. The constructor's arguments must outlive this object.
 class MachineReleaser {
  public:
   MachineReleaser(transport::Runtime& runtime, CloudClient& cloud, MachineRegistry& registry,
                   MachineRemovedHandler on_machine_removed);
 
-  /// Forgets what was scheduled. Calls made before must have been abandoned.
+  /// Starts a term without scheduled machines. Cloud calls of the previous term must have been
+  /// abandoned.
   void begin_term();
-  /// Takes a machine out of use, to be released with the next batch.
+  /// Marks a machine as releasing, which excludes it from use, and schedules its release.
   void schedule(cluster::Machine& machine);
-  /// Sends the next batch if there is one and the cloud's rate limit allows a call.
+  /// Sends at most `constants::max_released` scheduled machines if no batch is in flight, the pause
+  /// after a failed batch has ended, and the cloud's rate limit allows a call.
   void send_batch_if_due();
 
  private:
--- a/src/coordination/fleet/offer_backoff.hpp
+++ b/src/coordination/fleet/offer_backoff.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Pauses for offers that the cloud refused.
+/// Backoff for offers that the cloud refused.
 #pragma once
 
 #include <map>
@@ -10,14 +10,15 @@
 
 namespace poppystile::coordination {
 
-/// Remembers refused offers. The pause of each doubles with every further refusal, up to a bound,
-/// until a request for it is granted.
+/// Pauses refused offers. An offer's pause starts at `constants::initial_no_capacity_pause` and
+/// doubles with each further refusal, up to `constants::max_no_capacity_pause`, until a request for
+/// the offer is granted.
 class OfferBackoff {
  public:
   void record_refusal(const planning::Offer& offer, SteadyTime now);
-  /// The offer was granted: its next pause is a short one again.
+  /// Ends the offer's pause after a grant, and resets the duration of its next pause.
   void reset(const planning::Offer& offer) { refusals_.erase(offer); }
-  /// Whether the offer's pause has not ended.
+  /// Whether the offer is paused at `now`.
   bool is_paused(const planning::Offer& offer, SteadyTime now) const;
   std::set<planning::Offer> paused_offers(SteadyTime now) const;
 
--- a/src/coordination/fleet/rental_log.cpp
+++ b/src/coordination/fleet/rental_log.cpp
@@ -8,7 +8,7 @@
   rentals_.clear();
   for (const auto& [name, record] : records) {
     PendingRental rental{record};
-    rental.requested = true;  // a former leader may have done so
+    rental.requested = true;  // A previous leader may have sent the request.
     rentals_[name] = rental;
   }
 }
--- a/src/coordination/fleet/rental_log.hpp
+++ b/src/coordination/fleet/rental_log.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Rentals from the decision to rent until the cloud's answer, as the journal records them.
+/// Pending rentals: recorded in the journal, and without a final response of the cloud.
 #pragma once
 
 #include <cstdint>
@@ -12,43 +12,46 @@
 
 namespace poppystile::coordination {
 
-/// A rental that is recorded and not settled. It is requested under its name until there is an
-/// answer, also by a later leader.
+/// A rental that is recorded and not settled. The leader, or a later one, repeats the request under
+/// the same name until the cloud grants or refuses it.
 struct PendingRental {
   storage::RentalRecord record;
-  std::uint64_t log_position = 0;  ///< may be requested once the journal is durable up to here
-  bool in_flight = false;          ///< a request has not been answered yet
-  bool requested = false;          ///< has ever been requested, so it may be carried out late
+  std::uint64_t log_position =
+      0;                   ///< Journal position that must be durable before the first request
+  bool in_flight = false;  ///< Whether a request awaits its response
+  bool requested = false;  ///< Whether a request was ever sent; it may be carried out late
   SteadyTime next_request_at;
 };
 
-/// The pending rentals. Each is recorded in the journal before it may be requested, so that no
-/// machine is rented that a successor would not look for.
+/// The pending rentals. Each is recorded in the journal before it may be requested, so that a later
+/// leader repeats the request and receives the ids of its machines.
 class RentalLog {
  public:
   explicit RentalLog(JournalWriter& journal) : journal_(journal) {}
 
-  /// Takes over the rentals that former leaders left pending.
+  /// Starts a term with the rentals that previous leaders left pending, by name.
   void begin_term(const std::map<std::string, storage::RentalRecord>& records);
 
-  /// Records a rental under a new name, which the leader's fencing token keeps unique.
+  /// Records a rental under a new name. The leader's fencing token `token` makes the name unique
+  /// among all leaders.
   void add(std::uint64_t token, const storage::RentalRecord& record);
-  /// Records that nothing more will come of a rental, and drops it. Machines that it brought must
-  /// have been recorded before.
+  /// Records that a rental was granted, refused or withdrawn, and removes it. Its granted machines
+  /// must have been recorded before.
   void settle(const std::string& name);
 
-  /// Whether a rental is recorded durably, and no request for it is under way or was made lately.
+  /// Whether the rental's journal record is durable, no request for it is in flight, and the pause
+  /// after the previous request has ended.
   bool is_request_due(const PendingRental& rental, SteadyTime now) const;
-  /// The rental called `name`; null if it is settled.
+  /// The pending rental called `name`, or null if there is none.
   PendingRental* find(const std::string& name);
   std::map<std::string, PendingRental>& rentals() { return rentals_; }
   const std::map<std::string, PendingRental>& rentals() const { return rentals_; }
-  /// The pending rentals as a snapshot of the journal records them.
+  /// The records of the pending rentals by name, for a snapshot of the journal.
   std::map<std::string, storage::RentalRecord> records() const;
 
  private:
   JournalWriter& journal_;
-  std::map<std::string, PendingRental> rentals_;  // by name
+  std::map<std::string, PendingRental> rentals_;  // Key: name of the rental
   std::uint64_t names_used_ = 0;
 };
 
--- a/src/coordination/fleet/scale_in.cpp
+++ b/src/coordination/fleet/scale_in.cpp
@@ -15,11 +15,11 @@
 const char* to_text(ReleaseReason reason) {
   switch (reason) {
     case ReleaseReason::never_came_up:
-      return "never came up";
+      return "boot timed out";
     case ReleaseReason::silent:
-      return "silent";
+      return "no heartbeats";
     case ReleaseReason::unresponsive:
-      return "unresponsive";
+      return "does not receive responses";
     case ReleaseReason::quarantined:
       return "quarantined";
   }
--- a/src/coordination/fleet/scale_in.hpp
+++ b/src/coordination/fleet/scale_in.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Drains machines that the fleet does not need, and gives up those that do no work.
+/// Drains machines beyond the demand, and releases drained and unusable machines.
 #pragma once
 
 #include <cstdint>
@@ -14,23 +14,27 @@
 
 namespace poppystile::coordination {
 
-/// Why a machine is given up.
+/// Why a machine is unusable and therefore released.
 enum class ReleaseReason : std::uint8_t { never_came_up, silent, unresponsive, quarantined };
 
-/// Decides which machines are released. Keeps references to its arguments.
+/// Drains machines and schedules their release. The constructor's arguments must outlive this
+/// object.
 class ScaleIn {
  public:
   ScaleIn(transport::Runtime& runtime, MachineRegistry& registry, const MachineCatalog& catalog,
           MachineReleaser& releaser, const protocol::Settings& settings);
 
-  /// Silence before `term_started_at` does not count against a machine.
+  /// Starts a term. The time since a machine's last heartbeat counts from `term_started_at` at the
+  /// earliest.
   void begin_term(SteadyTime term_started_at) { term_started_at_ = term_started_at; }
 
-  /// Schedules the release of machines that never came up, do not answer, or fail every task.
+  /// Schedules the release of machines whose boot timed out, that send no heartbeats, that do not
+  /// receive responses, or that are quarantined and run no task.
   void release_overdue();
-  /// Schedules the release of drained machines, and uncordons those that are wanted again.
+  /// Schedules the release of the machines in `plan.release`, and ends the draining of those in
+  /// `plan.uncordon`.
   void apply_releases(const planning::ScalingPlan& plan);
-  /// Starts draining the machines that the plan can do without.
+  /// Starts draining the machines in `plan.drain`.
   void apply_drains(const planning::ScalingPlan& plan);
 
  private:
--- a/src/coordination/fleet/scale_out.cpp
+++ b/src/coordination/fleet/scale_out.cpp
@@ -60,7 +60,7 @@
                         const CloudError& error) {
   switch (error.reason) {
     case CloudError::Reason::unavailable:
-      return;  // requested again
+      return;  // The request is repeated after a pause.
     case CloudError::Reason::malformed:
       return spdlog::info("rental response malformed name={} why=\"{}\"", name, error.detail);
     case CloudError::Reason::refused:
@@ -89,7 +89,8 @@
     machine.rented_at = runtime_.wall_now();
     registry_.admit(std::move(machine));
   }
-  // After the machines, so that no reader of the journal ever misses both.
+  // Settled after the machines are recorded, so that every prefix of the journal contains either
+  // the pending rental or its machines.
   rental_log_.settle(name);
 }
 
--- a/src/coordination/fleet/scale_out.hpp
+++ b/src/coordination/fleet/scale_out.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Rents machines: from the orders of a scaling plan to machines in the cluster state.
+/// Rents the machines that a scaling plan orders, and adds them to the cluster state.
 #pragma once
 
 #include <cstdint>
@@ -17,25 +17,26 @@
 
 namespace poppystile::coordination {
 
-/// Records rentals, requests them until the cloud answers, and admits the machines that it grants.
-/// Keeps references to its arguments.
+/// Records rentals, requests them until the cloud grants or refuses them, and admits the granted
+/// machines. The constructor's arguments must outlive this object.
 class ScaleOut {
  public:
   ScaleOut(transport::Runtime& runtime, CloudClient& cloud, RentalLog& rental_log,
            MachineRegistry& registry, const protocol::Settings& settings);
 
-  /// Requests each rental that is due, as far as the cloud's rate limit allows.
+  /// Sends the request of each rental that is due, as far as the cloud's rate limit allows.
   void request_due_rentals();
-  /// Settles rentals that have not been requested yet, and whose offer was refused meanwhile under
-  /// another name.
+  /// Settles rentals that were never requested and whose offer is paused, because the cloud refused
+  /// it to another rental.
   void withdraw_refused_rentals();
-  /// Records rentals for as many orders as can be requested soon; the others are left to later
-  /// plans, where they grow together with the demand by then.
+  /// Records rentals for `orders`, in their order, while fewer rentals are pending than the cloud's
+  /// rate limit allows calls in a second. Later plans order the remaining machines again, according
+  /// to the demand at that time. `token` is the leader's fencing token.
   void record_rentals(const std::vector<planning::RentalOrder>& orders, std::uint64_t token);
 
-  /// What is recorded and not answered yet.
+  /// The orders of all pending rentals.
   std::vector<planning::RentalOrder> pending_orders() const;
-  /// Offers that are not to be requested now.
+  /// Offers that are paused after a refusal.
   std::set<planning::Offer> refused_offers() const {
     return backoff_.paused_offers(runtime_.now());
   }
