--- a/src/coordination/api/admission_check.cpp
+++ b/src/coordination/api/admission_check.cpp
@@ -27,12 +27,13 @@
   return !job.zone || contains(type.zones, *job.zone);
 }
 
-/// `max_units` is in whole units, 0 for none; amounts are in thousandths.
+/// Whether `total`, in thousandths, exceeds `max_units`, in whole units. 0 means no limit.
 bool exceeds(std::int64_t total, double max_units) {
   return max_units > 0 && total > std::llround(max_units * 1000);
 }
 
-/// An array's tasks may run one after another; all others run at the same time.
+/// Whether the team's limit can never hold the job: a single task of an array, whose tasks may run
+/// one after another, or all tasks of another job, which run at the same time.
 bool exceeds_team_limit(const JobSpec& job, const TeamSettings& team) {
   const std::int64_t tasks = job.kind == JobKind::array ? 1 : job.tasks;
   return exceeds(job.each.cpus * tasks, team.cpus_max) ||
--- a/src/coordination/api/admission_check.hpp
+++ b/src/coordination/api/admission_check.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Decides whether a submitted job could ever run under the settings and the cloud's catalog.
+/// Decides whether a submitted job can ever run under the settings and the cloud's catalog.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 
 namespace poppystile::coordination {
 
-/// Why a well-formed job is not accepted.
+/// Why a well-formed job is rejected.
 enum class RejectionReason : std::uint8_t {
   unknown_team,
   no_fitting_machine_type,
@@ -21,22 +21,22 @@
   record_too_large
 };
 
-/// The text that the user is given for a rejection.
+/// The error text of the response to the user.
 const char* to_string(RejectionReason reason);
 
-/// A job that has passed the check. Its list of machine types names known types only, which also
-/// bounds the size of its record.
+/// A job that has passed the check. Its list of machine types contains only types of the catalog,
+/// which also bounds the size of its record.
 struct AdmittedJob {
   protocol::JobSpec spec;
 };
 
-/// Checks jobs against the teams' limits and the machine types. Holds no state of its own.
+/// Checks jobs against the teams' limits and the machine types. Stateless.
 class AdmissionCheck {
  public:
   /// `settings` must outlive the check.
   explicit AdmissionCheck(const protocol::Settings& settings) : settings_(settings) {}
 
-  /// Returns the job as it may be stored, or the first reason found why it can never run.
+  /// Returns the job in the form in which it is stored, or the first reason found to reject it.
   tl::expected<AdmittedJob, RejectionReason> check(
       protocol::JobSpec job, const std::vector<protocol::MachineType>& machine_types) const;
 
--- a/src/coordination/api/consistent_reader.cpp
+++ b/src/coordination/api/consistent_reader.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-// The job's key and its final record's.
+// The key of the job's record and the key of its final record.
 constexpr std::size_t max_conditions_per_query = 2;
 
 bool contains(const std::vector<std::string>& keys, const std::string& key) {
@@ -84,11 +84,12 @@
   const bool changed = contains(result.failed, job_key(query.id)) ||
                        contains(result.failed, final_record_key(query.id));
   if (changed) return read_from_service(query.id, std::move(query.done));
-  // Another query of the batch made the compare fail.
+  // A condition of another query in the batch failed, so this query is sent again.
   confirm_current(query.id, std::move(query.done));
 }
 
-// The job first: a job that ends between the two reads is then found by its final record.
+// Reads the job's record before its final record, so that a job that ends between the two reads is
+// found by the second.
 void ConsistentReader::read_from_service(const std::string& id, Callback done) {
   key_value_client_.get(
       job_key(id), RequestPriority::user,
--- a/src/coordination/api/consistent_reader.hpp
+++ b/src/coordination/api/consistent_reader.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Reads of jobs that are current at the state service, not only in this controller's cache.
+/// Reads jobs with confirmation by the state service instead of from this controller's cache alone.
 #pragma once
 
 #include <cstdint>
@@ -15,18 +15,18 @@
 
 namespace poppystile::coordination {
 
-/// What the state service confirmed about a job.
+/// The state of a job, as confirmed by the state service.
 enum class ReadResult : std::uint8_t {
-  unavailable,  ///< Nothing is certain: no answer, or one too old to be passed on.
+  unavailable,  ///< Not confirmed: no response, or a response to a request that is too old.
   active,       ///< The job is stored and has no final record; the cache holds its record.
   terminal,     ///< The job has its final record.
   absent        ///< The job was never stored.
 };
 
-/// Confirms cached jobs against the state service and reads again what has changed.
+/// Confirms cached jobs against the state service, and reads changed jobs again.
 ///
-/// A result other than `terminal` is given only while the answer that proves it is at most
-/// `constants::max_read_age` old: another controller may have told users of later changes.
+/// Returns `active` or `absent` only if the request that proves it was sent at most
+/// `constants::max_read_age` ago: another controller may have reported a later change to users.
 class ConsistentReader {
  public:
   using Callback = std::function<void(ReadResult)>;
@@ -37,17 +37,18 @@
 
   /// Confirms that the cache is current for the job, or reads the job again if it is not.
   ///
-  /// Queries of `constants::poll_batch_window` are gathered into one compare. `done` runs once.
+  /// Queries within `constants::poll_batch_window` are combined into one compare, or more if the
+  /// state service's limit on conditions requires it. `done` is called exactly once.
   void confirm_current(const std::string& id, Callback done);
 
-  /// Reads the job's records from the state service into the cache. `done` runs once.
+  /// Reads the job's records from the state service into the cache. `done` is called exactly once.
   void read_from_service(const std::string& id, Callback done);
 
  private:
   struct Query {
     std::string id;
     Callback done;
-    bool cached = false;  // whether the cache held the job's record when the compare was sent
+    bool cached = false;  // Whether the cache held the job's record when the compare was sent.
   };
 
   void send_gathered();
--- a/src/coordination/api/job_api.hpp
+++ b/src/coordination/api/job_api.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// Users' requests. Any controller serves them, against the state service.
+/// Handles users' requests. Every controller serves them, since it confirms them with the state
+/// service.
 #pragma once
 
 #include <cstdint>
@@ -16,7 +17,7 @@
 
 namespace poppystile::coordination {
 
-/// How many tasks of a job have finished and how many run, for display only.
+/// Numbers of a job's finished and running tasks, for display only.
 struct TaskCounts {
   std::uint64_t done = 0;
   std::uint64_t running = 0;
@@ -24,34 +25,37 @@
 
 /// Handles submissions, status polls and cancellations.
 ///
-/// Each call responds exactly once. A response never claims more than the state service has
-/// confirmed: while it cannot be reached, or its calls pile up, users get 503 with Retry-After.
+/// Each call responds exactly once. A response contains only states that the state service has
+/// confirmed. While the state service is not reachable, or too many calls to it are queued, the
+/// response is 503 with Retry-After.
 class JobApi {
  public:
-  /// All references must outlive the object; `counts` gives the tasks of a job by its id.
+  /// All references must outlive this object. `counts` returns the task counts of the job with the
+  /// given id.
   JobApi(transport::Runtime& runtime, KeyValueClient& key_value_client,
          SharedStateCache& shared_state, const protocol::Settings& settings,
          std::function<TaskCounts(const std::string&)> counts);
 
-  /// Stores a new job (201) or responds with the state of one that is stored already (200).
-  /// 400: malformed; 422: it can never run or be stored.
+  /// Stores a new job (201), or responds with the state of a job that is stored already (200).
+  /// Responds 400 if the body is malformed, and 422 if the job can never run or its record is too
+  /// large to be stored.
   void submit(const std::string& body, transport::Respond respond);
 
-  /// Responds with the job's state and counts (200), or 404.
+  /// Responds with the job's state and task counts (200), or 404 if there is no such job.
   void show(const std::string& id, transport::Respond respond);
 
   /// Marks the job as cancelled, unless it has its final state, and responds with its state (200),
-  /// or 404.
+  /// or 404 if there is no such job.
   void cancel(const std::string& id, const transport::Respond& respond);
 
  private:
-  /// An admitted job on its way into the state service.
+  /// An admitted job that is being written to the state service.
   struct Submission {
     AdmittedJob job;
     SteadyTime received_at;
     transport::Respond respond;
   };
-  /// A cancellation on its way into the state service.
+  /// A cancellation that is being written to the state service.
   struct Cancellation {
     std::string id;
     SteadyTime received_at;
@@ -64,12 +68,13 @@
   void mark_cancelled(const Cancellation& cancellation);
   void finish_cancellation(const Cancellation& cancellation, const protocol::Json& record,
                            const TransactionResult& result);
-  /// Reads the job from the state service, then marks it, unless it does not exist.
+  /// Reads the job from the state service and, if it exists, marks it as cancelled.
   void read_and_mark_cancelled(const Cancellation& cancellation);
 
   void respond_status(const std::string& id, const transport::Respond& respond) const;
   void respond_state(const std::string& id, const transport::Respond& respond) const;
-  /// Responds with the state of a job that was submitted before, if it is certain to exist.
+  /// Returns a callback that responds with the job's state if the read confirms that the job is
+  /// stored, and with 503 otherwise.
   ConsistentReader::Callback respond_state_if_stored(const std::string& id,
                                                      transport::Respond respond) const;
   protocol::JobState state_of(const std::string& id) const;
--- a/src/coordination/fleet/rental_log.hpp
+++ b/src/coordination/fleet/rental_log.hpp
@@ -16,8 +16,8 @@
 /// the same name until the cloud grants or refuses it.
 struct PendingRental {
   storage::RentalRecord record;
-  std::uint64_t log_position =
-      0;                   ///< Journal position that must be durable before the first request
+  /// Journal position that must be durable before the first request.
+  std::uint64_t log_position = 0;
   bool in_flight = false;  ///< Whether a request awaits its response
   bool requested = false;  ///< Whether a request was ever sent; it may be carried out late
   SteadyTime next_request_at;
--- a/src/planning/autoscaler/autoscaler.hpp
+++ b/src/planning/autoscaler/autoscaler.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// How many machines of which kind the fleet needs: what to rent and what to release. Pure
-/// functions of the cluster state.
+/// Decides which machines to rent, drain, uncordon and release. Pure functions of the cluster state
+/// and the context.
 #pragma once
 
 #include <cstdint>
@@ -13,17 +13,17 @@
 
 namespace poppystile::planning {
 
-/// What one scaling pass decided. Machines are named by their ids.
+/// The decisions of one scaling pass. Machines are given by id.
 struct ScalingPlan {
-  std::vector<RentalOrder> rent;      ///< the largest order first
-  std::vector<std::string> release;   ///< have drained
-  std::vector<std::string> drain;     ///< shall take no new tasks
-  std::vector<std::string> uncordon;  ///< draining, and wanted after all
-  std::int64_t demand_cpus = 0;       ///< thousandths: in use, wanted now, and the reserves
+  std::vector<RentalOrder> rent;      ///< By descending count
+  std::vector<std::string> release;   ///< Drained machines
+  std::vector<std::string> drain;     ///< Machines that shall accept no new tasks
+  std::vector<std::string> uncordon;  ///< Draining machines that shall accept tasks again
+  std::int64_t demand_cpus = 0;       ///< Thousandths of CPUs: in use, demanded, and reserves
 };
 
-/// Compares demand with supply. A plan that takes draining machines back does nothing else, and
-/// only a plan that rents nothing drains machines.
+/// Compares demand with supply. A plan that uncordons machines contains no other decision, and only
+/// a plan that rents nothing drains machines.
 ScalingPlan plan_scaling(const cluster::ClusterState& cluster_state, const ScalingContext& context);
 
 }  // namespace poppystile::planning
--- a/src/planning/autoscaler/bin_packer.cpp
+++ b/src/planning/autoscaler/bin_packer.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-// Puts as many of `count` tasks as fit into the bin; returns how many.
+// Places as many of `count` tasks as fit into the bin, and returns their number.
 std::uint32_t fill(Bin& bin, const JobSpec& spec, std::uint32_t count) {
   const auto fitting =
       static_cast<std::uint32_t>(std::min<std::int64_t>(spec.each.times_in(bin.room), count));
@@ -50,8 +50,9 @@
   }
 }
 
-// The zone with the most room for the gang. Where that is too little, zones in which machines can
-// be rented go first, if there are any.
+// Returns the zone with the most room for the gang's tasks among the zones that have room for the
+// whole gang or in which machines can be rented; if there is none, among all zones. Returns nothing
+// without any zone.
 std::optional<std::string> BinPacker::choose_gang_zone(const TaskDemand& demand) const {
   std::optional<std::string> best;
   std::int64_t best_room = 0;
@@ -67,7 +68,8 @@
   return best;
 }
 
-// For each zone, how many tasks the machines in it have room for.
+// Returns the number of tasks for which the bins of each zone have room. Zones of the catalog
+// without suitable bins have 0.
 std::map<std::string, std::int64_t> BinPacker::task_room_by_zone(const JobSpec& spec) const {
   std::map<std::string, std::int64_t> room;
   for (const auto& type : types_)
--- a/src/planning/autoscaler/bin_packer.hpp
+++ b/src/planning/autoscaler/bin_packer.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Packs demanded tasks into the fleet's room, and finds out which machines are missing.
+/// Packs demanded tasks into the fleet's free room, and determines which machines are missing.
 #pragma once
 
 #include <cstdint>
@@ -15,19 +15,19 @@
 namespace poppystile::planning {
 
 /// First-fit packing: into the bins in their order, then into machines that would be rented.
-/// Keeps references to the catalog and the selector.
+/// `types` and `selector` must outlive the packer.
 class BinPacker {
  public:
   BinPacker(CapacitySupply supply, const std::vector<protocol::MachineType>& types,
             const OfferSelector& selector);
 
-  /// Takes the room for all permitted tasks, adding machines of the selector's choice where there
-  /// is too little. `demand` must outlive the packer.
+  /// Places the permitted tasks, adding machines of the offers that the selector returns when the
+  /// bins are full. `demand` must outlive the packer.
   void pack(const TaskDemand& demand);
 
-  /// The bins with the room that is left.
+  /// The bins, including those of added machines, with their remaining room.
   std::vector<Bin>& bins() { return supply_.bins; }
-  /// Machines that had to be added, by kind.
+  /// Number of added machines for each offer.
   const std::map<Offer, int>& missing_machines() const { return missing_machines_; }
   /// Demands of waiting tasks for which there is neither room nor an offer.
   const std::vector<const TaskDemand*>& unplaced() const { return unplaced_; }
--- a/src/planning/autoscaler/capacity_demand.cpp
+++ b/src/planning/autoscaler/capacity_demand.cpp
@@ -19,12 +19,12 @@
 namespace {
 
 constexpr std::int64_t unlimited_cpus = std::int64_t{1} << 60;  // thousandths
-// An array is finished in no more than so many rounds of its tasks.
+// Maximum number of rounds, one after another, in which the tasks of an array run.
 constexpr double max_rounds = 4.0;
-// Rounds for an array without a deadline.
+// Number of rounds for an array without a deadline.
 constexpr double default_rounds = 3;
 
-// What each team may still use, as demand takes it up.
+// The CPUs that each team may still use under its limit, reduced as demand is added.
 class TeamQuotas {
  public:
   TeamQuotas(const ClusterState& cluster_state, const ScalingContext& context) {
@@ -36,7 +36,8 @@
     }
   }
 
-  // Takes up to `wanted` tasks from the quota of the job's team; returns how many.
+  // Takes the CPUs of up to `wanted` tasks from the quota of the job's team. Returns the number of
+  // tasks that the quota permits.
   std::uint32_t take(const JobSpec& spec, std::uint32_t wanted) {
     if (spec.each.cpus <= 0) return wanted;
     auto& remaining = remaining_[spec.team];
@@ -46,7 +47,7 @@
   }
 
  private:
-  std::map<std::string, std::int64_t> remaining_;  // thousandths of cpus
+  std::map<std::string, std::int64_t> remaining_;  // Thousandths of CPUs by team
 };
 
 std::vector<const Job*> jobs_in_packing_order(const ClusterState& cluster_state) {
@@ -87,8 +88,9 @@
     demand_.tasks.push_back({spec, wanted, permitted, purpose, prefer_quick_start});
   }
 
-  // Room for the services that come next, in the shape of the last job of each class. While
-  // replicas wait it is what the next of them will take, so it must be quick as well as cheap.
+  // Adds room for future replicas: for each class of services, a share of its replicas with the
+  // size of the class's last job. While replicas wait, the next ones use this room as soon as it is
+  // available, so its start delay counts besides its price.
   void add_service_reserves(const std::vector<const Job*>& jobs) {
     struct ServiceClass {
       const JobSpec* shape = nullptr;
@@ -112,7 +114,8 @@
     }
   }
 
-  // Room for the next gang of each class that came lately, as large as the largest of them.
+  // Adds room for the next gang of each class that had one within `gang_room_kept_for`, as large as
+  // the largest recent gang of the class.
   void add_gang_reserves() {
     for (const auto& [name, recent] : cluster_state_.recent_gangs)
       if (context_.wall_now - recent.last_submitted_at < constants::gang_room_kept_for)
--- a/src/planning/autoscaler/capacity_demand.hpp
+++ b/src/planning/autoscaler/capacity_demand.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The room that jobs need now, and that should be kept ready for the next ones.
+/// The room that jobs need now, and the reserves for future jobs.
 #pragma once
 
 #include <cstdint>
@@ -10,30 +10,32 @@
 
 namespace poppystile::planning {
 
-/// Whose room is asked for.
+/// Whether room is demanded for waiting tasks or as a reserve for future jobs.
 enum class DemandPurpose : std::uint8_t { waiting_tasks, reserve };
 
-/// Room for a number of like tasks.
+/// Demand for the room of a number of identical tasks.
 struct TaskDemand {
-  protocol::JobSpec spec;       ///< the tasks' size and constraints
-  std::uint32_t wanted = 0;     ///< tasks, whatever the team may use
-  std::uint32_t permitted = 0;  ///< of these, as many as the team's limit still allows
+  protocol::JobSpec spec;       ///< Size and constraints of the tasks
+  std::uint32_t wanted = 0;     ///< Number of tasks, regardless of the team's limit
+  std::uint32_t permitted = 0;  ///< Number of these tasks that the team's limit still allows
   DemandPurpose purpose = DemandPurpose::waiting_tasks;
-  bool prefer_quick_start = true;  ///< weigh a machine's boot and fetch times for services
+  bool prefer_quick_start = true;  ///< Whether boot and fetch times count for a service
 };
 
-/// All demand of one plan.
+/// The whole demand of one scaling pass.
 struct CapacityDemand {
-  std::vector<TaskDemand> tasks;  ///< in the order in which they are packed
-  std::int64_t cpus = 0;          ///< thousandths: in use, wanted now, and the reserves
+  std::vector<TaskDemand> tasks;  ///< In packing order
+  std::int64_t cpus = 0;          ///< Thousandths of CPUs: in use, demanded, and reserves
 };
 
-/// Tasks of the job that need room of their own soon. Arrays with time to spare share room: as many
-/// tasks are wanted at once as finish the work within the time that is left.
+/// Returns how many waiting tasks of the job need room at the same time. Tasks of an array may run
+/// one after another in the same room, in as many rounds as its deadline allows, but at most four;
+/// three without a deadline. All waiting tasks of other jobs need room at the same time.
 std::uint32_t tasks_wanted_at_once(const cluster::Job& job, WallTime now);
 
-/// Waiting tasks (services first, then by priority and id), then the reserve for each class of
-/// services, then that for each class of recent gangs. The same state always gives the same order.
+/// Returns the demand in packing order: waiting tasks (services first, then by priority and id),
+/// the reserve for each class of services, and the reserve for each class of recent gangs. The
+/// order is deterministic.
 CapacityDemand measure_demand(const cluster::ClusterState& cluster_state,
                               const ScalingContext& context);
 
--- a/src/planning/autoscaler/capacity_supply.hpp
+++ b/src/planning/autoscaler/capacity_supply.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The room that the fleet has or is about to have.
+/// The free room of the fleet's machines and of pending rentals.
 #pragma once
 
 #include <cstdint>
@@ -12,48 +12,51 @@
 
 namespace poppystile::planning {
 
-/// The room of one machine, as bin packing uses it up.
+/// The free room of one machine, which bin packing reduces as it places tasks.
 struct Bin {
   Offer offer;
   protocol::Resources room;
-  const cluster::Machine* machine = nullptr;  ///< null: requested, or about to be
-  std::int64_t service_cpus = 0;              ///< thousandths; held by replicas of services
+  const cluster::Machine* machine = nullptr;  ///< Null for a machine that is not rented yet
+  std::int64_t service_cpus = 0;              ///< Thousandths of CPUs used by replicas of services
 };
 
-/// Machines by kind.
+/// Numbers of machines by offer.
 struct FleetComposition {
-  std::map<Offer, int> available;  ///< that take work, boot in time, or are requested
-  std::map<Offer, int> overdue;    ///< that have been booting for longer than usual
+  std::map<Offer, int> available;  ///< Machines for which `CapacitySupply` has a bin
+  std::map<Offer, int> overdue;    ///< Machines whose boot is overdue
   int total_available = 0;
 
   void add_available(const Offer& offer);
-  /// Share of this kind in all available machines and the next one.
+  /// The offer's available machines, divided by all available machines and one to be added.
   double available_share(const Offer& offer) const;
-  /// Share of overdue machines in all machines of this kind.
+  /// The offer's overdue machines, divided by its overdue and available machines; 0 if it has
+  /// none.
   double overdue_share(const Offer& offer) const;
 };
 
-/// The bins at the start of a plan, and what the fleet consists of.
+/// The bins and the composition of the fleet before a scaling pass packs its demand.
 struct CapacitySupply {
   std::vector<Bin> bins;
   FleetComposition composition;
 
-  /// Adds the room of a machine that is to be rented; nothing if its type is not in the catalog.
+  /// Adds the room of a machine to be rented. Does nothing if `types` does not contain its type.
   void add_rented_machine(const Offer& offer, const std::vector<protocol::MachineType>& types);
 };
 
 /// Whether a machine has been booting for longer than its type usually takes.
 bool is_boot_overdue(const cluster::Machine& machine, WallTime now);
 
-/// Whether a machine is there, or booting, to take work. One whose boot is overdue may never come
-/// up: its capacity is rented again meanwhile.
+/// Whether a machine can take tasks now or once it has booted. A machine whose boot is overdue does
+/// not count: it may never come up, so its capacity is rented again.
 bool counts_as_capacity(const cluster::Machine& machine, WallTime now);
 
-/// The service of which `placement` is a replica; null for other jobs' tasks and after its exit.
+/// The service of which `placement` is a replica, or null if it is a task of another kind of job or
+/// has exited.
 const protocol::JobSpec* service_of(const cluster::ClusterState& cluster_state,
                                     const cluster::Placement& placement);
 
-/// The room of all machines that count as capacity and are not draining, and of pending rentals.
+/// Returns the free room of all machines that count as capacity and are not draining, followed by
+/// that of pending rentals.
 CapacitySupply measure_supply(const cluster::ClusterState& cluster_state,
                               const ScalingContext& context);
 
--- a/src/planning/autoscaler/offer_selector.cpp
+++ b/src/planning/autoscaler/offer_selector.cpp
@@ -12,15 +12,16 @@
 
 namespace {
 
-// A service counts from its submission on, so a type that boots and fetches slowly is worth less to
-// it. Arrays wait for their deadline anyway.
+// Price factor for the delay until a task starts: it doubles with each `service_delay_worth`. The
+// waiting time of a service is measured from its submission, so a type that boots and fetches
+// slowly is worth less. The factor is 1 for other jobs; arrays are measured by their deadline.
 double start_delay_factor(const JobSpec& spec, const MachineType& type) {
   if (spec.kind != JobKind::service) return 1;
   const Seconds delay = type.boot_time + Seconds{spec.image_gb / type.fetch_gb_per_s};
   return std::exp2(delay / constants::service_delay_worth);
 }
 
-/// On-demand and spot machines of the type in each of its zones.
+/// The on-demand and spot offers of the type in each of its zones.
 std::vector<Offer> offers_of(const protocol::MachineType& type) {
   std::vector<Offer> offers;
   offers.reserve(2 * type.zones.size());
@@ -29,9 +30,10 @@
   return offers;
 }
 
-/// The price, raised for kinds that the fleet has much of and for kinds whose boots are overdue.
+/// The price, raised by the offer's share in the available machines and by its share of overdue
+/// boots.
 double weighted_price(double price, const Offer& offer, const FleetComposition& composition) {
-  // No type or zone should hold the whole fleet.
+  // Spreads the fleet, so that no type or zone holds all machines.
   const double spread_factor = 1 + constants::kind_spread * composition.available_share(offer);
   return price * spread_factor * (1 + composition.overdue_share(offer));
 }
--- a/src/planning/autoscaler/offer_selector.hpp
+++ b/src/planning/autoscaler/offer_selector.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Which kind of machine to rent for a job.
+/// Selects the offer to rent for a job's tasks.
 #pragma once
 
 #include <optional>
@@ -13,16 +13,17 @@
 
 namespace poppystile::planning {
 
-/// Compares the catalog's offers for a job. Keeps references to its arguments.
+/// Compares the catalog's offers for a job. `types` and `refused` must outlive the selector.
 class OfferSelector {
  public:
   OfferSelector(const std::vector<protocol::MachineType>& types, const std::set<Offer>& refused)
       : types_(types), refused_(refused) {}
 
-  /// The offer with the lowest price for each of the job's tasks, among those that the job allows,
-  /// that hold at least one task and were not refused lately. Kinds that the fleet has much of, and
-  /// kinds whose boots are overdue, count as dearer; with `prefer_quick_start`, so do kinds on
-  /// which a service starts late. Nothing if there is no such offer.
+  /// Returns the offer with the lowest weighted price per task, among those that the job's
+  /// constraints allow, whose machines hold at least one task, and that are not in `refused`. The
+  /// weights raise the price of offers that make up much of the fleet or whose boots are overdue,
+  /// and, with `prefer_quick_start`, of offers on which a service starts late. Returns nothing if
+  /// no offer qualifies.
   std::optional<Offer> cheapest(const protocol::JobSpec& spec, bool prefer_quick_start,
                                 const FleetComposition& composition) const;
 
--- a/src/planning/autoscaler/scale_in_policy.cpp
+++ b/src/planning/autoscaler/scale_in_policy.cpp
@@ -51,7 +51,7 @@
     const Machine& machine = *bin.machine;
     if (machine.size.cpus > excess) continue;
     if (bin.service_cpus > 0 && !reserve_room_for_replicas(bin)) continue;
-    // A machine whose room was reserved for a move is not emptied itself.
+    // A machine on which room is reserved for replicas of another one is not drained itself.
     if (bin.room.cpus != machine.room().cpus) continue;
     bin.room = {};
     excess -= machine.size.cpus;
@@ -76,7 +76,7 @@
   return candidates;
 }
 
-// Thousandths of cpus above the highest recent demand and its headroom.
+// The fleet's CPUs in thousandths, minus the highest recent demand with its headroom.
 std::int64_t ScaleInPolicy::excess_cpus() const {
   std::int64_t supply = 0;
   for (const auto& bin : bins_)
@@ -92,8 +92,8 @@
          static_cast<double>(std::max<std::int64_t>(1, type->size.cpus));
 }
 
-// Whether the replicas on a machine are few and fit into the room of others; if so, that room is
-// taken. Otherwise nothing changes.
+// Reserves room on other machines for all replicas on the source. Returns false, and reserves
+// nothing, if the replicas use more than `move_share` of the source's CPUs or do not all fit.
 bool ScaleInPolicy::reserve_room_for_replicas(Bin& source) {
   const Machine& machine = *source.machine;
   if (static_cast<double>(source.service_cpus) >
@@ -114,7 +114,8 @@
   return true;
 }
 
-// The first other machine that runs services, holds the image and has room; null if there is none.
+// Returns the first other machine that runs services, caches the service's image, meets its
+// constraints and has room for a replica, or null if there is none.
 Bin* ScaleInPolicy::find_target(const JobSpec& service, const Bin& source) {
   const auto found = std::find_if(bins_.begin(), bins_.end(), [&](const Bin& bin) {
     return &bin != &source && bin.machine != nullptr && bin.machine->has_reported &&
--- a/src/planning/autoscaler/scale_in_policy.hpp
+++ b/src/planning/autoscaler/scale_in_policy.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Which machines the fleet can do without, and which draining machines it needs after all.
+/// Selects machines to drain, and draining machines to uncordon or release.
 #pragma once
 
 #include <cstdint>
@@ -13,27 +13,31 @@
 
 namespace poppystile::planning {
 
-/// Draining machines that are wanted again: all of them if others would have to be rented, and
-/// those that fit an unplaced demand, since a machine that cannot be emptied drains for ever.
+/// Returns the ids of draining machines that shall accept tasks again: all that count as capacity
+/// if machines would have to be rented; otherwise those with room for a task of an unplaced demand.
+/// A machine whose replicas fit nowhere else would drain for ever while that demand waits.
 std::vector<std::string> choose_machines_to_uncordon(
     const cluster::ClusterState& cluster_state, WallTime now, bool machines_are_missing,
     const std::vector<const TaskDemand*>& unplaced);
 
-/// Draining machines that have run empty and are not being released yet.
+/// Returns the ids of draining machines without tasks that are not being released yet.
 std::vector<std::string> find_drained_machines(const cluster::ClusterState& cluster_state);
 
-/// Chooses the machines that exceed the highest recent demand. Keeps references to its arguments.
+/// Selects the machines beyond the highest recent demand. The constructor's arguments must outlive
+/// this object.
 class ScaleInPolicy {
  public:
-  /// `bins`: the room that is left after packing. A choice takes up the room that its replicas
-  /// will move to.
+  /// `bins` holds the room that remains after packing. Selecting a machine removes its own room and
+  /// the room to which its replicas will move.
   ScaleInPolicy(const cluster::ClusterState& cluster_state, const ScalingContext& context,
                 std::vector<Bin>& bins)
       : cluster_state_(cluster_state), context_(context), bins_(bins) {}
 
-  /// Ids of machines to drain, a small share of the fleet at a time: machines without services
-  /// first, the dearest of them; then those whose few replicas fit elsewhere. Only machines of
-  /// whose room the packing used nothing are considered.
+  /// Returns the ids of machines to drain, at most the share `constants::drain_share` of the
+  /// candidates. Candidates are machines that have reported and in whose room nothing was packed.
+  /// Those with the fewest CPUs used by services come first, then the dearest per CPU, then those
+  /// with the fewest CPUs in use. A machine with replicas is selected only if they are few and fit
+  /// elsewhere.
   std::vector<std::string> choose_machines_to_drain();
 
  private:
--- a/src/planning/autoscaler/scaling_context.hpp
+++ b/src/planning/autoscaler/scaling_context.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What a scaling plan depends on besides the cluster state.
+/// Inputs of a scaling plan besides the cluster state.
 #pragma once
 
 #include <cstdint>
@@ -18,10 +18,10 @@
   WallTime wall_now;
   const std::vector<protocol::MachineType>* types = nullptr;
   const std::vector<protocol::TeamSettings>* teams = nullptr;
-  std::set<Offer> refused;           ///< offers that the cloud refused lately; not to be requested
-  std::vector<RentalOrder> pending;  ///< rentals recorded or requested, and not answered yet
-  std::int64_t peak_cpus = 0;        ///< thousandths; the highest recent demand
-  double service_reserve = 0.1;      ///< share of the running services' tasks to keep room for
+  std::set<Offer> refused;           ///< Offers not to be requested after a recent refusal
+  std::vector<RentalOrder> pending;  ///< Orders of pending rentals
+  std::int64_t peak_cpus = 0;        ///< Highest recent demand in thousandths of CPUs
+  double service_reserve = 0.1;      ///< Reserve for services, as a share of their tasks
 };
 
 }  // namespace poppystile::planning
