--- a/src/coordination/api/consistent_reader.cpp
+++ b/src/coordination/api/consistent_reader.cpp
@@ -35,15 +35,15 @@
 }
 
 void ConsistentReader::confirm_current(const std::string& id, Callback done) {
-  gathered_.push_back({id, std::move(done)});
-  if (gathered_.size() == 1)
-    runtime_.after(constants::poll_batch_window, [this] { send_gathered(); });
+  pending_queries_.push_back({id, std::move(done)});
+  if (pending_queries_.size() == 1)
+    runtime_.after(constants::poll_batch_window, [this] { send_pending_queries(); });
 }
 
-void ConsistentReader::send_gathered() {
+void ConsistentReader::send_pending_queries() {
   const std::size_t max_batch = limits_.max_conditions() / max_conditions_per_query;
   std::vector<Query> batch;
-  for (auto& query : std::exchange(gathered_, {})) {
+  for (auto& query : std::exchange(pending_queries_, {})) {
     batch.push_back(std::move(query));
     if (batch.size() == max_batch) send_compare(std::exchange(batch, {}));
   }
@@ -52,7 +52,7 @@
 
 void ConsistentReader::send_compare(std::vector<Query> queries) {
   protocol::Transaction compare;
-  std::vector<Query> open;
+  std::vector<Query> unconfirmed;
   for (auto& query : queries) {
     // A final record never changes, so the cache suffices.
     if (shared_state_.final_state(query.id)) {
@@ -67,13 +67,13 @@
       compare.conditions.push_back({job_key(query.id), 0});
       compare.conditions.push_back({final_record_key(query.id), 0});
     }
-    open.push_back(std::move(query));
+    unconfirmed.push_back(std::move(query));
   }
-  if (open.empty()) return;
+  if (unconfirmed.empty()) return;
   key_value_client_.compare_and_swap(
       compare, RequestPriority::user,
-      [this, open = std::move(open)](const TransactionResult& result) mutable {
-        for (auto& query : open) finish_query(std::move(query), result);
+      [this, unconfirmed = std::move(unconfirmed)](const TransactionResult& result) mutable {
+        for (auto& query : unconfirmed) finish_query(std::move(query), result);
       });
 }
 
--- a/src/coordination/api/consistent_reader.hpp
+++ b/src/coordination/api/consistent_reader.hpp
@@ -51,7 +51,7 @@
     bool cached = false;  // Whether the cache held the job's record when the compare was sent.
   };
 
-  void send_gathered();
+  void send_pending_queries();
   void send_compare(std::vector<Query> queries);
   void finish_query(Query query, const TransactionResult& result);
   void read_final_record(const std::string& id, Callback done);
@@ -61,7 +61,7 @@
   KeyValueClient& key_value_client_;
   SharedStateCache& shared_state_;
   const protocol::StateLimits& limits_;
-  std::vector<Query> gathered_;
+  std::vector<Query> pending_queries_;
 };
 
 }  // namespace poppystile::coordination
--- a/src/coordination/api/job_api.cpp
+++ b/src/coordination/api/job_api.cpp
@@ -49,7 +49,7 @@
   return runtime_.now() - received_at < constants::submission_retry_window;
 }
 
-bool JobApi::known_as_cancelled_or_final(const std::string& id) const {
+bool JobApi::is_cancelled_or_final(const std::string& id) const {
   if (shared_state_.final_state(id)) return true;
   const CachedJob* cached = shared_state_.job(id);
   return cached != nullptr && cached->record.cancelled;
@@ -88,7 +88,7 @@
 void JobApi::show(const std::string& id, Respond respond) {
   if (!protocol::valid_job_id(id)) return respond(not_found());
   // A cancelled or final job never leaves this state, so the cache suffices.
-  if (known_as_cancelled_or_final(id)) return respond_status(id, respond);
+  if (is_cancelled_or_final(id)) return respond_status(id, respond);
   if (must_reject_requests()) return respond(unavailable());
   reader_.confirm_current(id, [this, id, respond = std::move(respond)](ReadResult result) {
     if (result == ReadResult::unavailable) return respond(unavailable());
@@ -165,7 +165,7 @@
 
 void JobApi::mark_cancelled(const Cancellation& cancellation) {
   const std::string& id = cancellation.id;
-  if (known_as_cancelled_or_final(id)) return respond_state(id, cancellation.respond);
+  if (is_cancelled_or_final(id)) return respond_state(id, cancellation.respond);
   const CachedJob* cached = shared_state_.job(id);
   if (cached == nullptr) return read_and_mark_cancelled(cancellation);
   protocol::Json record =
--- a/src/coordination/api/job_api.hpp
+++ b/src/coordination/api/job_api.hpp
@@ -78,7 +78,7 @@
   ConsistentReader::Callback respond_state_if_stored(const std::string& id,
                                                      transport::Respond respond) const;
   protocol::JobState state_of(const std::string& id) const;
-  bool known_as_cancelled_or_final(const std::string& id) const;
+  bool is_cancelled_or_final(const std::string& id) const;
   bool must_reject_requests() const;
   bool within_retry_window(SteadyTime received_at) const;
 
--- a/src/coordination/fleet/catalog_updater.cpp
+++ b/src/coordination/fleet/catalog_updater.cpp
@@ -44,13 +44,13 @@
     }
     catalog_.replace(*types);
     fetched_at_ = runtime_.now();
-    record_once();
+    record_if_absent();
   });
 }
 
 // Stores the catalog in the state service unless one is stored already. A controller that starts
 // while the cloud is unavailable validates submissions against the stored catalog.
-void CatalogUpdater::record_once() {
+void CatalogUpdater::record_if_absent() {
   if (shared_state_.catalog_version() != 0) return;
   const protocol::Json value = storage::encode_catalog(catalog_.types());
   if (value.dump().size() > settings_.state_limits.max_value_bytes())
--- a/src/coordination/fleet/catalog_updater.hpp
+++ b/src/coordination/fleet/catalog_updater.hpp
@@ -34,7 +34,7 @@
 
  private:
   void fetch();
-  void record_once();
+  void record_if_absent();
 
   transport::Runtime& runtime_;
   CloudClient& cloud_;
--- a/src/coordination/fleet/cloud_client.cpp
+++ b/src/coordination/fleet/cloud_client.cpp
@@ -29,8 +29,8 @@
                                      response.status, ""});
   try {
     return parse(response.body);
-  } catch (const protocol::DecodeError& problem) {
-    return tl::unexpected(CloudError{Reason::malformed, response.status, problem.what()});
+  } catch (const protocol::DecodeError& error) {
+    return tl::unexpected(CloudError{Reason::malformed, response.status, error.what()});
   }
 }
 
--- a/src/coordination/fleet/fleet_manager.cpp
+++ b/src/coordination/fleet/fleet_manager.cpp
@@ -58,7 +58,7 @@
   const SteadyTime now = runtime_.now();
   if (now - last_capacity_pass_at_ >= constants::capacity_pass_interval) {
     last_capacity_pass_at_ = now;
-    scale_in_.release_overdue();
+    scale_in_.release_unusable();
     reconcile_capacity();
   }
   releaser_.send_batch_if_due();
--- a/src/coordination/fleet/scale_in.cpp
+++ b/src/coordination/fleet/scale_in.cpp
@@ -14,7 +14,7 @@
 
 const char* to_text(ReleaseReason reason) {
   switch (reason) {
-    case ReleaseReason::never_came_up:
+    case ReleaseReason::boot_timed_out:
       return "boot timed out";
     case ReleaseReason::silent:
       return "no heartbeats";
@@ -37,7 +37,7 @@
       releaser_(releaser),
       settings_(settings) {}
 
-void ScaleIn::release_overdue() {
+void ScaleIn::release_unusable() {
   for (auto& [id, machine] : registry_.cluster_state().machines) {
     if (machine.releasing) continue;
     const auto reason = reason_to_release(machine);
@@ -49,7 +49,7 @@
 
 std::optional<ReleaseReason> ScaleIn::reason_to_release(const Machine& machine) const {
   if (machine.incarnation == 0) {
-    if (is_boot_timed_out(machine)) return ReleaseReason::never_came_up;
+    if (is_boot_timed_out(machine)) return ReleaseReason::boot_timed_out;
     return std::nullopt;
   }
   if (is_silent(machine)) return ReleaseReason::silent;
--- a/src/coordination/fleet/scale_in.hpp
+++ b/src/coordination/fleet/scale_in.hpp
@@ -15,7 +15,7 @@
 namespace poppystile::coordination {
 
 /// Why a machine is unusable and therefore released.
-enum class ReleaseReason : std::uint8_t { never_came_up, silent, unresponsive, quarantined };
+enum class ReleaseReason : std::uint8_t { boot_timed_out, silent, unresponsive, quarantined };
 
 /// Drains machines and schedules their release. The constructor's arguments must outlive this
 /// object.
@@ -30,7 +30,7 @@
 
   /// Schedules the release of machines whose boot timed out, that send no heartbeats, that do not
   /// receive responses, or that are quarantined and run no task.
-  void release_overdue();
+  void release_unusable();
   /// Schedules the release of the machines in `plan.release`, and ends the draining of those in
   /// `plan.uncordon`.
   void apply_releases(const planning::ScalingPlan& plan);
--- a/src/planning/autoscaler/bin_packer.cpp
+++ b/src/planning/autoscaler/bin_packer.cpp
@@ -80,9 +80,9 @@
 }
 
 bool BinPacker::can_rent_in(const std::string& zone, const JobSpec& spec) const {
-  JobSpec there = spec;
-  there.zone = zone;
-  return selector_.cheapest(there, true, supply_.composition).has_value();
+  JobSpec spec_in_zone = spec;
+  spec_in_zone.zone = zone;
+  return selector_.cheapest(spec_in_zone, true, supply_.composition).has_value();
 }
 
 }  // namespace poppystile::planning
--- a/src/planning/autoscaler/capacity_demand.cpp
+++ b/src/planning/autoscaler/capacity_demand.cpp
@@ -135,8 +135,8 @@
   if (spec.kind != JobKind::array) return job.schedulable_tasks();
   const Seconds expected = expected_run_time(spec);
   const Seconds age = now - job.record.accepted_at;
-  const Seconds left = spec.deadline ? *spec.deadline - age : default_rounds * expected;
-  const double rounds = std::clamp(left / expected, 1.0, max_rounds);
+  const Seconds time_left = spec.deadline ? *spec.deadline - age : default_rounds * expected;
+  const double rounds = std::clamp(time_left / expected, 1.0, max_rounds);
   return static_cast<std::uint32_t>(std::ceil(job.schedulable_tasks() / rounds));
 }
 
--- a/src/planning/autoscaler/scale_in_policy.cpp
+++ b/src/planning/autoscaler/scale_in_policy.cpp
@@ -67,12 +67,13 @@
     const bool is_needed = bin.room.cpus != bin.machine->room().cpus;
     if (!is_needed) candidates.push_back({&bin, price_per_cpu(*bin.machine)});
   }
-  const auto rank = [](const Candidate& candidate) {
+  const auto sort_key = [](const Candidate& candidate) {
     return std::make_tuple(candidate.bin->service_cpus, -candidate.price_per_cpu,
                            candidate.bin->machine->used.cpus);
   };
-  std::stable_sort(candidates.begin(), candidates.end(),
-                   [&](const Candidate& a, const Candidate& b) { return rank(a) < rank(b); });
+  std::stable_sort(
+      candidates.begin(), candidates.end(),
+      [&](const Candidate& a, const Candidate& b) { return sort_key(a) < sort_key(b); });
   return candidates;
 }
 
--- a/tests/unit/cloud_client_test.cpp
+++ b/tests/unit/cloud_client_test.cpp
@@ -14,7 +14,8 @@
  protected:
   CloudResult<std::vector<std::string>> rent(int status, const std::string& body) {
     std::optional<CloudResult<std::vector<std::string>>> result;
-    cloud.request_rental("r-1", {"t", "a", true, 3}, [&](const auto& given) { result = given; });
+    cloud.request_rental("r-1", {"t", "a", true, 3},
+                         [&](const auto& received) { result = received; });
     cloud_http.answer(status, body);
     return result.value();
   }
--- a/tests/unit/consistent_reader_test.cpp
+++ b/tests/unit/consistent_reader_test.cpp
@@ -43,10 +43,10 @@
   void run_for(double seconds) { queue.run_until(queue.now() + seconds); }
 
   std::optional<ReadResult> confirm() {
-    std::optional<ReadResult> got;
-    reader.confirm_current(job_id, [&](ReadResult result) { got = result; });
+    std::optional<ReadResult> received;
+    reader.confirm_current(job_id, [&](ReadResult result) { received = result; });
     run_for(5);
-    return got;
+    return received;
   }
 
   ConsistentReader reader{caller, store, shared_state, settings.state_limits};
--- a/tests/unit/inventory_reconciler_test.cpp
+++ b/tests/unit/inventory_reconciler_test.cpp
@@ -23,7 +23,7 @@
   static std::string page(const std::string& machines, bool more = false) {
     return R"({"stiles":[)" + machines + R"(],"more":)" + (more ? "true}" : "false}");
   }
-  void read(const std::string& body) {
+  void fetch_page_with_response(const std::string& body) {
     inventory.fetch_page_if_due();
     cloud_http.answer(200, body);
   }
@@ -33,7 +33,7 @@
 };
 
 TEST_F(InventoryReconcilerTest, AdoptsAnUnknownMachine) {
-  read(page(listed("n-1", "running")));
+  fetch_page_with_response(page(listed("n-1", "running")));
   const cluster::Machine* machine = registry.find("n-1");
   ASSERT_NE(machine, nullptr);
   EXPECT_TRUE(machine->spot);
@@ -43,27 +43,28 @@
 
 TEST_F(InventoryReconcilerTest, AdoptsNothingFromAListOfAFormerTerm) {
   inventory.begin_term(caller.now());
-  read(page(listed("n-1", "running")));
+  fetch_page_with_response(page(listed("n-1", "running")));
   EXPECT_EQ(registry.find("n-1"), nullptr);
 }
 
 TEST_F(InventoryReconcilerTest, IgnoresReleasedMachinesAndUnknownTypes) {
   registry.mark_released("n-1");
-  read(page(listed("n-1", "running") + "," + listed("n-2", "running", "other")));
+  fetch_page_with_response(
+      page(listed("n-1", "running") + "," + listed("n-2", "running", "other")));
   EXPECT_TRUE(cluster_state.machines.empty());
 }
 
 TEST_F(InventoryReconcilerTest, ReleasesFailedMachinesAndKeepsUnlistedOnes) {
   add_machine("n-1");
   add_machine("n-2");
-  read(page(listed("n-1", "failed")));
+  fetch_page_with_response(page(listed("n-1", "failed")));
   EXPECT_TRUE(registry.find("n-1")->releasing);
   ASSERT_NE(registry.find("n-2"), nullptr);
   EXPECT_FALSE(registry.find("n-2")->releasing);
 }
 
 TEST_F(InventoryReconcilerTest, ReadsPagesAfterEachOtherAndThenFromTheStart) {
-  read(page(listed("n-1", "running"), true));
+  fetch_page_with_response(page(listed("n-1", "running"), true));
   inventory.fetch_page_if_due();
   EXPECT_TRUE(cloud_http.calls.empty());
   queue.run_until(queue.now() + 1);  // a quarter of five calls a second
--- a/tests/unit/job_api_test.cpp
+++ b/tests/unit/job_api_test.cpp
@@ -38,14 +38,14 @@
 
   /// The response; `response_time` is how long it took.
   HttpResponse submit(const Json& body) {
-    HttpResponse got;
+    HttpResponse received;
     const double sent_at = queue.now();
     job_api.submit(body.dump(), [&](HttpResponse response) {
-      got = std::move(response);
+      received = std::move(response);
       response_time = queue.now() - sent_at;
     });
     queue.run_until(sent_at + 2);
-    return got;
+    return received;
   }
 
   JobApi job_api{caller, store, shared_state, settings, [](const auto&) { return TaskCounts{}; }};
@@ -54,7 +54,7 @@
 
 TEST_F(JobApiTest, RejectsInadmissibleJobsAtOnceAndStoresNothing) {
   struct Case {
-    const char* what;
+    const char* description;
     std::vector<std::pair<const char*, Json>> fields;
     int status;
   };
@@ -82,16 +82,16 @@
       {"no tasks", {{"pieces", 0}}, 400},
       {"no name", {{"id", "412"}}, 400},
   };
-  for (const Case& each : cases) {
+  for (const Case& test_case : cases) {
     Json body = submission();
-    for (const auto& [field, value] : each.fields) body[field] = value;
+    for (const auto& [field, value] : test_case.fields) body[field] = value;
     for (int repeat = 0; repeat < 2; ++repeat) {
-      const HttpResponse got = submit(body);
-      EXPECT_EQ(got.status, each.status) << each.what << " " << got.body;
-      EXPECT_EQ(response_time, 0) << each.what;
-      EXPECT_TRUE(Json::parse(got.body).at("error").is_string()) << each.what;
+      const HttpResponse received = submit(body);
+      EXPECT_EQ(received.status, test_case.status) << test_case.description << " " << received.body;
+      EXPECT_EQ(response_time, 0) << test_case.description;
+      EXPECT_TRUE(Json::parse(received.body).at("error").is_string()) << test_case.description;
     }
-    EXPECT_FALSE(service.has(storage::job_key("req-000412"))) << each.what;
+    EXPECT_FALSE(service.has(storage::job_key("req-000412"))) << test_case.description;
   }
 }
 
@@ -133,16 +133,16 @@
 TEST_F(JobApiTest, DoesNotReportAStateThatWasReadTooLongAgo) {
   ASSERT_EQ(submit(submission()).status, 201);
   const auto show_after = [&](double response_delay) {
-    HttpResponse got;
+    HttpResponse received;
     caller.response_delay = Seconds{response_delay};
-    job_api.show("req-000412", [&](HttpResponse response) { got = std::move(response); });
+    job_api.show("req-000412", [&](HttpResponse response) { received = std::move(response); });
     queue.run_until(queue.now() + 3);
-    return got;
+    return received;
   };
   EXPECT_EQ(show_after(0.5).status, 200);
-  const HttpResponse late = show_after(1.5);
-  EXPECT_EQ(late.status, 503);
-  EXPECT_TRUE(late.retry_after.count() > 0);
+  const HttpResponse outdated = show_after(1.5);
+  EXPECT_EQ(outdated.status, 503);
+  EXPECT_TRUE(outdated.retry_after.count() > 0);
 }
 
 }  // namespace
--- a/tests/unit/offer_selector_test.cpp
+++ b/tests/unit/offer_selector_test.cpp
@@ -10,8 +10,8 @@
 
 class OfferSelectorTest : public testing::Test {
  protected:
-  std::optional<Offer> cheapest(const JobSpec& wanted, bool prefer_quick_start = false) const {
-    return OfferSelector(types, refused).cheapest(wanted, prefer_quick_start, composition);
+  std::optional<Offer> cheapest(const JobSpec& job_spec, bool prefer_quick_start = false) const {
+    return OfferSelector(types, refused).cheapest(job_spec, prefer_quick_start, composition);
   }
 
   std::vector<protocol::MachineType> types = {
--- a/tests/unit/scale_in_test.cpp
+++ b/tests/unit/scale_in_test.cpp
@@ -73,7 +73,7 @@
   ScaleInTest() { scale_in.begin_term(caller.now()); }
   // Whether a pass schedules the machine's release.
   bool is_released_by_pass(const cluster::Machine& machine) {
-    scale_in.release_overdue();
+    scale_in.release_unusable();
     return machine.releasing;
   }
   MachineReleaser releaser{caller, cloud, registry, [](auto&, auto&) {}};
