--- a/tests/unit/admission_check_test.cpp
+++ b/tests/unit/admission_check_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Each reason why a job is not admitted, and what an admitted job looks like.
+/// The reasons for rejecting a job, and the machine types of an admitted job.
 #include "coordination/api/admission_check.hpp"
 
 #include <gtest/gtest.h>
@@ -25,7 +25,7 @@
     job.each = {8000, 1000, 32000};
   }
 
-  /// The reason for a rejection; nothing for an admitted job.
+  /// The reason for which `job` is rejected, or nothing if it is admitted.
   std::optional<RejectionReason> rejection() const {
     const auto result = check.check(job, machine_types);
     return result ? std::nullopt : std::optional(result.error());
@@ -82,13 +82,13 @@
   EXPECT_EQ(admitted->spec.types, std::vector<std::string>{"g8"});
 }
 
-TEST_F(AdmissionCheckTest, LeavesAJobWithoutAListOfTypesWithoutOne) {
+TEST_F(AdmissionCheckTest, AddsNoListOfMachineTypesToAJobWithoutOne) {
   const auto admitted = check.check(job, machine_types);
   ASSERT_TRUE(admitted.has_value());
   EXPECT_FALSE(admitted->spec.types.has_value());
 }
 
-TEST(RejectionReasonTest, EachHasATextOfItsOwn) {
+TEST(RejectionReasonTest, EachReasonHasADistinctText) {
   std::set<std::string> texts;
   for (const auto reason :
        {RejectionReason::unknown_team, RejectionReason::no_fitting_machine_type,
--- a/tests/unit/autoscaler_test.cpp
+++ b/tests/unit/autoscaler_test.cpp
@@ -1,4 +1,4 @@
-// What a scaling pass rents, drains and takes back.
+// Which machines a scaling pass rents and uncordons.
 #include "planning/autoscaler/autoscaler.hpp"
 
 #include <gtest/gtest.h>
@@ -24,7 +24,7 @@
   ScalingContext context;
 };
 
-// One type that boots quickly, and one that is cheaper for its size and slow.
+// One type that boots quickly, and one that boots slowly and is cheaper per CPU.
 class AutoscalerTwoTypesTest : public testing::Test {
  protected:
   AutoscalerTwoTypesTest() {
@@ -38,7 +38,7 @@
     job.image_gb = 2.5;
     return job;
   }
-  // How many machines of each type the plan rents.
+  // The number of machines of each type that the plan rents.
   std::map<std::string, int> rented() const {
     std::map<std::string, int> counts;
     for (const auto& order : plan_scaling(cluster_state, context).rent)
@@ -53,16 +53,17 @@
   ScalingContext context;
 };
 
-// Replicas that wait are worth the quicker type, however many of it there are already: a mixed
-// fleet once kept half of a burst waiting for slow boots.
+// The quick type is rented for all waiting replicas, although offers of which the fleet has many
+// machines count as dearer. Otherwise half of the replicas of a burst wait for slow boots.
 TEST_F(AutoscalerTwoTypesTest, RentsTheQuickTypeForWaitingReplicas) {
   context.service_reserve = 0;
   for (int i = 0; i < 40; ++i) add(cluster_state, replica("req-" + std::to_string(i)));
   EXPECT_EQ(rented(), (std::map<std::string, int>{{"quick", 10}}));
 }
 
-// While replicas wait, the reserve is what the next of them take: in slow types it once used up a
-// burst's room, one second's reserve after the other. Without a burst the cheaper type serves.
+// While replicas wait, the next ones use the reserve. If the reserve is rented in a slow type, each
+// pass of a burst adds slow machines and the burst waits for their boots. Without waiting replicas,
+// the reserve is rented in the cheaper type.
 TEST_F(AutoscalerTwoTypesTest, ReservesTheQuickTypeOnlyWhileReplicasWait) {
   context.service_reserve = 0.5;
   for (int i = 0; i < 8; ++i) add(cluster_state, replica("req-" + std::to_string(i)));
@@ -72,7 +73,8 @@
   EXPECT_EQ(rented(), (std::map<std::string, int>{{"slow", 1}}));
 }
 
-// Machines that never come up once counted as room until they were released after four boot times.
+// A machine that never comes up is released only after four boot times. If it counted as capacity
+// until then, the tasks planned for it would wait.
 TEST_F(AutoscalerTwoTypesTest, ReplacesOverdueBootsByAnotherType) {
   context.service_reserve = 0;
   for (int i = 0; i < 4; ++i) add(cluster_state, replica("req-" + std::to_string(i)));
@@ -87,8 +89,8 @@
   EXPECT_EQ(rented(), (std::map<std::string, int>{{"slow", 1}}));
 }
 
-// A machine whose replicas fit nowhere else never runs empty; a job that waited for its room, where
-// nothing could be rented, once waited for ever.
+// A draining machine whose replicas fit nowhere else never becomes empty. If nothing can be rented,
+// a job that needs the machine's room waits for ever unless the machine is uncordoned.
 TEST_F(AutoscalerOneTypeTest, UncordonsADrainingMachineForWorkThatCannotRentRoom) {
   add(cluster_state, spec("req-1", JobKind::array, 4, Priority::normal));
   Machine& draining = add(cluster_state, "a1", 16);
--- a/tests/unit/bin_packer_test.cpp
+++ b/tests/unit/bin_packer_test.cpp
@@ -1,4 +1,4 @@
-// Packing demand into the fleet's room and into machines to be rented.
+// Packing demand into the fleet's free room and into machines to be rented.
 #include "planning/autoscaler/bin_packer.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/unit/capacity_demand_test.cpp
+++ b/tests/unit/capacity_demand_test.cpp
@@ -1,4 +1,4 @@
-// Which room jobs need, and in which order it is packed.
+// The room that jobs need, the reserves, and the packing order.
 #include "planning/autoscaler/capacity_demand.hpp"
 
 #include <gtest/gtest.h>
@@ -36,7 +36,7 @@
 
 TEST_F(CapacityDemandTest, PermitsNoMoreThanTheTeamsLimit) {
   teams[0].cpus_max = 5;
-  add(cluster_state, spec("a", JobKind::service, 4, Priority::normal));  // 2 cpus each
+  add(cluster_state, spec("a", JobKind::service, 4, Priority::normal));  // 2 CPUs per task
   const CapacityDemand limited = demand();
   ASSERT_EQ(limited.tasks.size(), 1u);
   EXPECT_EQ(limited.tasks[0].wanted, 4u);
@@ -44,8 +44,9 @@
   EXPECT_EQ(limited.cpus, 4000);
 }
 
-TEST_F(CapacityDemandTest, ArraysWithTimeToSpareShareRoom) {
-  JobSpec array = spec("a", JobKind::array, 8, Priority::normal);  // tasks of 20 s
+TEST_F(CapacityDemandTest, TasksOfAnArrayShareRoomInAsManyRoundsAsItsDeadlineAllows) {
+  JobSpec array =
+      spec("a", JobKind::array, 8, Priority::normal);  // Expected run time of a task: 20 s
   array.deadline = Seconds{40};
   add(cluster_state, array);
   Job& job = cluster_state.jobs.at("a");
@@ -64,7 +65,7 @@
   EXPECT_TRUE(with_reserve.tasks[1].prefer_quick_start);
 }
 
-TEST_F(CapacityDemandTest, KeepsRoomForTheNextGangOnlyForAWhile) {
+TEST_F(CapacityDemandTest, KeepsRoomForTheNextGangForALimitedTime) {
   storage::JobRecord record;
   record.spec = spec("a", JobKind::gang, 6, Priority::normal);
   record.accepted_at = wall_at(1000);
@@ -75,7 +76,7 @@
   EXPECT_TRUE(demand().tasks.empty());
 }
 
-TEST_F(CapacityDemandTest, CountsWhatMachinesHoldAndSkipsCancelledJobs) {
+TEST_F(CapacityDemandTest, CountsCpusInUseAndSkipsCancelledJobs) {
   add(cluster_state, spec("a", JobKind::service, 1, Priority::normal));
   cluster_state.place(add(cluster_state, "a1", 16), cluster_state.jobs.at("a"), 1, {});
   cluster_state.jobs.at("a").record.cancelled = true;
--- a/tests/unit/cloud_client_test.cpp
+++ b/tests/unit/cloud_client_test.cpp
@@ -1,4 +1,4 @@
-// Typed results of calls to the cloud, and the rate budget.
+// Typed results of calls to the cloud, the limit on their rate, and abandoned calls.
 #include "coordination/fleet/cloud_client.hpp"
 
 #include <gtest/gtest.h>
@@ -27,7 +27,7 @@
   EXPECT_EQ(*granted, (std::vector<std::string>{"n-1", "n-2"}));
 }
 
-TEST_F(CloudClientTest, TellsRefusalsFromUnavailability) {
+TEST_F(CloudClientTest, DistinguishesRefusalsFromUnavailability) {
   using Reason = CloudError::Reason;
   EXPECT_EQ(rent(503, R"({"error":"no capacity"})").error().reason, Reason::refused);
   EXPECT_EQ(rent(400, R"({"error":"bad"})").error().reason, Reason::refused);
@@ -44,7 +44,7 @@
   EXPECT_FALSE(result.error().detail.empty());
 }
 
-TEST_F(CloudClientTest, SpendsNoMoreThanItsShareOfTheRate) {
+TEST_F(CloudClientTest, AcquiresNoMoreCallsThanItsShareOfTheRateLimit) {
   settings.cloud_rps = 10;
   CloudClient limited{caller, cloud_http, settings};
   int acquired = 0;
--- a/tests/unit/consistent_reader_test.cpp
+++ b/tests/unit/consistent_reader_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// What is confirmed about a job, with a current cache, an outdated one, and no timely answer.
+/// Read results with a current cache, with an outdated cache, and without a timely response.
 #include "coordination/api/consistent_reader.hpp"
 
 #include <gtest/gtest.h>
@@ -63,21 +63,21 @@
   EXPECT_EQ(confirm(), ReadResult::absent);
 }
 
-TEST_F(ConsistentReaderTest, TakesAFinalStateFromTheCache) {
+TEST_F(ConsistentReaderTest, ReadsAFinalStateFromTheCache) {
   write_final_record();
   run_for(1);
   service.set_down(true);
   EXPECT_EQ(confirm(), ReadResult::terminal);
 }
 
-TEST_F(ConsistentReaderTest, ReadsAJobAgainThatTheCacheLacks) {
+TEST_F(ConsistentReaderTest, ReadsAJobThatIsMissingFromTheCache) {
   caller.response_delay =
-      Seconds{0.5};  // the watch tells of the job after the compare has been sent
+      Seconds{0.5};  // The watch delivers the job after the compare has been sent.
   write_job();
   EXPECT_EQ(confirm(), ReadResult::active);
 }
 
-TEST_F(ConsistentReaderTest, ReadsAFinalRecordAgainThatTheCacheLacks) {
+TEST_F(ConsistentReaderTest, ReadsAFinalRecordThatIsMissingFromTheCache) {
   caller.response_delay = Seconds{0.5};
   write_final_record();
   EXPECT_EQ(confirm(), ReadResult::terminal);
@@ -88,12 +88,12 @@
   EXPECT_EQ(confirm(), ReadResult::unavailable);
 }
 
-TEST_F(ConsistentReaderTest, IsUnavailableWhenTheAnswerIsTooOld) {
+TEST_F(ConsistentReaderTest, IsUnavailableWhenTheResponseIsTooOld) {
   caller.response_delay = Seconds{1.5};
   EXPECT_EQ(confirm(), ReadResult::unavailable);
 }
 
-TEST_F(ConsistentReaderTest, GathersQueriesIntoOneCompare) {
+TEST_F(ConsistentReaderTest, CombinesQueriesIntoOneCompare) {
   const auto requests_before = service.requests();
   std::vector<ReadResult> results;
   for (int i = 0; i < 10; ++i)
@@ -101,7 +101,7 @@
                            [&](ReadResult result) { results.push_back(result); });
   run_for(0.2);
   EXPECT_EQ(results, std::vector<ReadResult>(10, ReadResult::absent));
-  // The compare, and the watch that is renewed meanwhile.
+  // One request for the compare, and one for the renewal of the watch.
   EXPECT_EQ(service.requests() - requests_before, 2u);
 }
 
--- a/tests/unit/fleet_fixture.hpp
+++ b/tests/unit/fleet_fixture.hpp
@@ -1,5 +1,5 @@
-// A leader's surroundings for tests of the fleet's parts: a journal in the simulated state service,
-// and a cloud whose calls the test answers itself.
+// Fixture for tests of the fleet components: a journal in the simulated state service, and a cloud
+// client whose calls the test answers.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -56,7 +56,7 @@
     catalog.replace({{"t", {16000, 0, 64000}, 50, 2, 1.0, 0.3, Seconds{20}, {"a"}}});
     registry.begin_term(cluster_state);
   }
-  // Elects this controller and opens its journal.
+  // Waits until this controller is elected and has loaded its journal.
   void become_leader() {
     election.on_elected([this] {
       journal.load([this](const auto& replayed) { is_journal_open = replayed.has_value(); });
@@ -66,7 +66,7 @@
     for (int i = 0; i < 3000 && !is_journal_open; ++i) queue.run_until(queue.now() + 0.01);
     ASSERT_TRUE(is_journal_open);
   }
-  // Lets time pass while the journal is written.
+  // Advances the simulated time while the journal is written.
   void run_for(double seconds) {
     const double end = queue.now() + seconds;
     while (queue.now() < end) {
@@ -74,7 +74,7 @@
       queue.run_until(queue.now() + 0.02);
     }
   }
-  // A machine of the catalog's type that has reported and is in use.
+  // Admits a machine of the catalog's type that has sent a heartbeat and can take tasks.
   cluster::Machine& add_machine(const std::string& id) {
     cluster::Machine machine;
     machine.id = id;
--- a/tests/unit/inventory_reconciler_test.cpp
+++ b/tests/unit/inventory_reconciler_test.cpp
@@ -1,4 +1,4 @@
-// What the cloud's list of machines tells, and what it does not.
+// Adoption and release of machines according to the cloud's machine list, and its paging.
 #include "coordination/fleet/inventory_reconciler.hpp"
 
 #include <gtest/gtest.h>
@@ -13,7 +13,8 @@
  protected:
   InventoryReconcilerTest() {
     inventory.begin_term(caller.now());
-    queue.run_until(2 * settings.list_lag.count() + 2);  // lists are from this term now
+    queue.run_until(2 * settings.list_lag.count() +
+                    2);  // Lists cannot be older than the term from here on.
   }
   static std::string listed(const std::string& id, const std::string& state,
                             const std::string& type = "t") {
@@ -41,7 +42,7 @@
   EXPECT_FALSE(machine->releasing);
 }
 
-TEST_F(InventoryReconcilerTest, AdoptsNothingFromAListOfAFormerTerm) {
+TEST_F(InventoryReconcilerTest, AdoptsNothingFromAListThatMayBeOlderThanTheTerm) {
   inventory.begin_term(caller.now());
   fetch_page_with_response(page(listed("n-1", "running")));
   EXPECT_EQ(registry.find("n-1"), nullptr);
@@ -67,7 +68,7 @@
   fetch_page_with_response(page(listed("n-1", "running"), true));
   inventory.fetch_page_if_due();
   EXPECT_TRUE(cloud_http.calls.empty());
-  queue.run_until(queue.now() + 1);  // a quarter of five calls a second
+  queue.run_until(queue.now() + 1);  // Pages may use a quarter of five calls per second.
   inventory.fetch_page_if_due();
   ASSERT_EQ(cloud_http.calls.size(), 1u);
   EXPECT_EQ(cloud_http.calls.front().request.target, protocol::list_path("n-1"));
--- a/tests/unit/job_api_test.cpp
+++ b/tests/unit/job_api_test.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Responses to users: each reason for a rejection, at once and with nothing stored; repeats.
+/// Responses to users: rejections, which are immediate and store nothing, repeated submissions, and
+/// outdated reads.
 #include "coordination/api/job_api.hpp"
 
 #include <gtest/gtest.h>
@@ -36,7 +37,7 @@
             {"guess_s", 240.0},   {"mark_every_s", 30}, {"mark_cost_s", 4.0}, {"due_s", nullptr}};
   }
 
-  /// The response; `response_time` is how long it took.
+  /// Returns the response, and sets `response_time` to the seconds until it was given.
   HttpResponse submit(const Json& body) {
     HttpResponse received;
     const double sent_at = queue.now();
@@ -66,9 +67,9 @@
       {"a gang over the team's GPUs",
        {{"shape", "gang"}, {"pieces", 3}, {"cores", 1}, {"gpus", 1}},
        422},
-      {"too many cores for any type", {{"cores", 33}}, 422},
+      {"too many CPUs for any type", {{"cores", 33}}, 422},
       {"too much memory for any type", {{"ram_gb", 65}}, 422},
-      {"too many gpus for any type", {{"gpus", 9}}, 422},
+      {"too many GPUs for any type", {{"gpus", 9}}, 422},
       {"no such type", {{"builds", {"x9"}}}, 422},
       {"no type allowed", {{"builds", Json::array()}}, 422},
       {"does not fit the allowed type", {{"builds", {"c4"}}}, 422},
@@ -76,11 +77,11 @@
        {{"builds", {"c4"}}, {"gpus", 0}, {"yard", "b"}},
        422},
       {"no such zone", {{"yard", "z"}}, 422},
-      {"a task above the team's gpus", {{"gpus", 3}}, 422},
-      {"a service's tasks above the team's cores", {{"shape", "standing"}, {"pieces", 6}}, 422},
-      {"a service's tasks above the team's gpus", {{"shape", "standing"}, {"pieces", 3}}, 422},
+      {"a task above the team's GPUs", {{"gpus", 3}}, 422},
+      {"a service's tasks above the team's CPUs", {{"shape", "standing"}, {"pieces", 6}}, 422},
+      {"a service's tasks above the team's GPUs", {{"shape", "standing"}, {"pieces", 3}}, 422},
       {"no tasks", {{"pieces", 0}}, 400},
-      {"no name", {{"id", "412"}}, 400},
+      {"malformed id", {{"id", "412"}}, 400},
   };
   for (const Case& test_case : cases) {
     Json body = submission();
@@ -128,9 +129,9 @@
   EXPECT_FALSE(service.has(storage::job_key("req-000412")));
 }
 
-// A compare that was answered late says nothing about now: another controller may have reported
-// a later state.
-TEST_F(JobApiTest, DoesNotReportAStateThatWasReadTooLongAgo) {
+// A late response to a compare does not prove the current state: another controller may have
+// reported a later one.
+TEST_F(JobApiTest, DoesNotReportAStateFromAnOutdatedRead) {
   ASSERT_EQ(submit(submission()).status, 201);
   const auto show_after = [&](double response_delay) {
     HttpResponse received;
--- a/tests/unit/machine_catalog_test.cpp
+++ b/tests/unit/machine_catalog_test.cpp
@@ -1,4 +1,4 @@
-// Known machine types, and how they reach the recorded catalog.
+// Lookup of machine types, refreshes of the catalog, and its record in the state service.
 #include "coordination/fleet/machine_catalog.hpp"
 
 #include <gtest/gtest.h>
@@ -22,7 +22,7 @@
   EXPECT_EQ(machine.boot_time, Seconds{20});
 }
 
-TEST_F(MachineCatalogTest, LeavesAMachineOfAnUnknownTypeAlone) {
+TEST_F(MachineCatalogTest, DoesNotChangeAMachineOfAnUnknownType) {
   cluster::Machine machine;
   machine.type = "other";
   EXPECT_FALSE(catalog.apply_machine_type(machine));
@@ -41,7 +41,7 @@
                          shared_state, election, settings};
 };
 
-TEST_F(CatalogUpdaterTest, FetchesOnceAndRefreshesAfterAWhile) {
+TEST_F(CatalogUpdaterTest, FetchesOnceAndRefreshesAfterTheInterval) {
   become_leader();
   updater.refresh_if_due();
   updater.refresh_if_due();
@@ -71,7 +71,7 @@
   EXPECT_EQ(catalog.find("x")->price, 2);
 }
 
-TEST_F(CatalogUpdaterTest, KeepsTheFormerCatalogWhenAResponseIsMalformed) {
+TEST_F(CatalogUpdaterTest, KeepsThePreviousCatalogWhenAResponseIsMalformed) {
   updater.refresh_if_due();
   cloud_http.answer(200, "{}");
   EXPECT_NE(catalog.find("t"), nullptr);
--- a/tests/unit/offer_selector_test.cpp
+++ b/tests/unit/offer_selector_test.cpp
@@ -1,4 +1,4 @@
-// Which kind of machine is the cheapest for a job.
+// Selection of the offer with the lowest weighted price for a job.
 #include "planning/autoscaler/offer_selector.hpp"
 
 #include <gtest/gtest.h>
@@ -44,12 +44,12 @@
   EXPECT_EQ(cheapest(job), std::nullopt);
 }
 
-TEST_F(OfferSelectorTest, PrefersAKindOfWhichTheFleetHasLess) {
+TEST_F(OfferSelectorTest, PrefersAnOfferOfWhichTheFleetHasFewerMachines) {
   composition.add_available({"slow", "a", true});
   EXPECT_EQ(cheapest(job), (Offer{"slow", "b", true}));
 }
 
-TEST_F(OfferSelectorTest, PrefersAKindWhoseBootsAreNotOverdue) {
+TEST_F(OfferSelectorTest, PrefersAnOfferWithoutOverdueBoots) {
   composition.overdue[{"slow", "a", true}] = 1;
   EXPECT_EQ(cheapest(job), (Offer{"slow", "b", true}));
 }
--- a/tests/unit/scale_in_policy_test.cpp
+++ b/tests/unit/scale_in_policy_test.cpp
@@ -1,4 +1,4 @@
-// Which machines are drained, taken back and released.
+// Selection of the machines to drain, uncordon and release.
 #include "planning/autoscaler/scale_in_policy.hpp"
 
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
   ScaleInPolicyTest() {
     context.types = &types;
     context.teams = &teams;
-    add(cluster_state, spec("web", JobKind::service, 8, Priority::production));  // 2 cpus each
+    add(cluster_state, spec("web", JobKind::service, 8, Priority::production));  // 2 CPUs per task
   }
   Ids machines_to_drain() {
     std::vector<Bin> bins = measure_supply(cluster_state, context).bins;
@@ -34,10 +34,10 @@
   ScalingContext context;
 };
 
-TEST_F(ScaleInPolicyTest, DrainsOnlyWhatExceedsTheRecentPeak) {
+TEST_F(ScaleInPolicyTest, DrainsOnlyMachinesBeyondTheRecentPeak) {
   add(cluster_state, "a1", 16);
   add(cluster_state, "a2", 16);
-  context.peak_cpus = 16000;  // and a tenth of headroom
+  context.peak_cpus = 16000;  // Plus 10% headroom
   EXPECT_EQ(machines_to_drain(), Ids{});
   context.peak_cpus = 14000;
   EXPECT_EQ(machines_to_drain(), Ids{"a1"});
@@ -70,7 +70,7 @@
   EXPECT_EQ(choose_machines_to_uncordon(cluster_state, {}, false, {}), Ids{});
 }
 
-TEST_F(ScaleInPolicyTest, ReleasesDrainedMachinesOnce) {
+TEST_F(ScaleInPolicyTest, FindsDrainedMachinesThatAreNotBeingReleased) {
   Machine& machine = add(cluster_state, "a1", 16);
   machine.draining = true;
   EXPECT_EQ(find_drained_machines(cluster_state), Ids{"a1"});
--- a/tests/unit/scale_in_test.cpp
+++ b/tests/unit/scale_in_test.cpp
@@ -1,4 +1,4 @@
-// Which machines are given up, and how they are released.
+// The history of demand, the reasons for releasing machines, and the batches of releases.
 #include "coordination/fleet/scale_in.hpp"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 namespace poppystile::coordination {
 namespace {
 
-TEST(DemandHistoryTest, PeakForgetsOldSamples) {
+TEST(DemandHistoryTest, PeakDiscardsOldSamples) {
   const SteadyTime start{Seconds{100}};
   DemandHistory history;
   EXPECT_EQ(history.peak(start, Seconds{40}), 0);
@@ -80,20 +80,20 @@
   ScaleIn scale_in{caller, registry, catalog, releaser, settings};
 };
 
-TEST_F(ScaleInTest, ReleasesAMachineThatNeverCameUp) {
+TEST_F(ScaleInTest, ReleasesAMachineWhoseBootTimedOut) {
   cluster::Machine& machine = add_machine("n-1");
   machine.incarnation = 0;
-  machine.rented_at = caller.wall_now() - Seconds{109};  // four boots of 20 s, and 30 s
+  machine.rented_at = caller.wall_now() - Seconds{109};  // Timeout: 4 * 20 s boot time + 30 s.
   EXPECT_FALSE(is_released_by_pass(machine));
   queue.run_until(queue.now() + 2);
   EXPECT_TRUE(is_released_by_pass(machine));
 }
 
-TEST_F(ScaleInTest, ReleasesAMachineThatIsSilentBeyondItsLease) {
+TEST_F(ScaleInTest, ReleasesAMachineWithoutHeartbeatsBeyondItsLease) {
   cluster::Machine& machine = add_machine("n-1");
   queue.run_until(99);
   EXPECT_FALSE(is_released_by_pass(machine));
-  queue.run_until(101);  // a lease of 10 s, and 90 s
+  queue.run_until(101);  // Timeout: 10 s lease + 90 s grace.
   EXPECT_TRUE(is_released_by_pass(machine));
 }
 
@@ -103,7 +103,7 @@
   machine.is_unresponsive = true;
   queue.run_until(29);
   EXPECT_FALSE(is_released_by_pass(machine));
-  queue.run_until(31);  // three leases of 10 s
+  queue.run_until(31);  // Timeout: three leases of 10 s.
   EXPECT_TRUE(is_released_by_pass(machine));
 }
 
@@ -116,7 +116,7 @@
   EXPECT_TRUE(is_released_by_pass(machine));
 }
 
-TEST_F(ScaleInTest, AppliesAPlan) {
+TEST_F(ScaleInTest, AppliesReleasesUncordonsAndDrainsOfAPlan) {
   add_machine("n-1").draining = true;
   add_machine("n-2").draining = true;
   add_machine("n-3");
--- a/tests/unit/scale_out_test.cpp
+++ b/tests/unit/scale_out_test.cpp
@@ -1,4 +1,4 @@
-// Renting: the record before the request, back-off, and what becomes of the cloud's answers.
+// Renting: durable records before requests, backoff, and handling of the cloud's responses.
 #include "coordination/fleet/scale_out.hpp"
 
 #include <gtest/gtest.h>
@@ -26,7 +26,7 @@
   }
 }
 
-TEST(OfferBackoffTest, TheNextPauseIsShortAfterASuccess) {
+TEST(OfferBackoffTest, AGrantResetsThePause) {
   const Offer offer{"t", "a", true};
   const SteadyTime now{Seconds{100}};
   OfferBackoff backoff;
@@ -53,7 +53,7 @@
   EXPECT_TRUE(rental_log.is_request_due(*rental, caller.now()));
 }
 
-TEST_F(RentalLogTest, NamesAreNeverUsedTwice) {
+TEST_F(RentalLogTest, NamesAreNotReusedAfterSettling) {
   rental_log.add(3, {"t", "a", true, 2});
   rental_log.settle("h-3-1");
   rental_log.add(3, {"t", "a", true, 2});
@@ -61,7 +61,7 @@
   EXPECT_NE(rental_log.find("h-3-2"), nullptr);
 }
 
-TEST_F(RentalLogTest, TakesOverTheRentalsOfFormerLeadersAsRequested) {
+TEST_F(RentalLogTest, TreatsRentalsOfPreviousLeadersAsRequested) {
   rental_log.add(3, {"t", "a", true, 2});
   rental_log.begin_term({{"h-2-1", {"t", "a", false, 4}}});
   EXPECT_EQ(rental_log.find("h-3-1"), nullptr);
@@ -113,7 +113,7 @@
   EXPECT_EQ(scale_out.refused_offers(), std::set<Offer>{offer});
 }
 
-TEST_F(ScaleOutTest, RepeatsARequestWithoutAnAnswerUnderTheSameName) {
+TEST_F(ScaleOutTest, RepeatsARequestWithoutAResponseUnderTheSameName) {
   become_leader();
   request(2);
   const std::string body = cloud_http.calls.front().request.body;
@@ -137,7 +137,7 @@
   EXPECT_FALSE(scale_out.pending_orders()[0].offer.spot);
 }
 
-TEST_F(ScaleOutTest, RecordsNoMoreRentalsThanCanBeRequestedSoon) {
+TEST_F(ScaleOutTest, RecordsNoMoreRentalsThanTheRateLimitAllowsInASecond) {
   const std::vector<planning::RentalOrder> orders(8, {offer, 1});
   scale_out.record_rentals(orders, 1);
   EXPECT_EQ(rental_log.rentals().size(), 5u);
