--- a/src/coordination/api/job_api.cpp
+++ b/src/coordination/api/job_api.cpp
@@ -87,7 +87,7 @@
 
 void JobApi::show(const std::string& id, Respond respond) {
   if (!protocol::valid_job_id(id)) return respond(not_found());
-  // A cancelled or final job never leaves this state, so the cache suffices.
+  // Cancellations and final states are never withdrawn, so the cache suffices.
   if (is_cancelled_or_final(id)) return respond_status(id, respond);
   if (must_reject_requests()) return respond(unavailable());
   reader_.confirm_current(id, [this, id, respond = std::move(respond)](ReadResult result) {
--- a/src/coordination/fleet/machine_registry.hpp
+++ b/src/coordination/fleet/machine_registry.hpp
@@ -39,7 +39,7 @@
  private:
   JournalWriter& journal_;
   const MachineCatalog& catalog_;
-  cluster::ClusterState* cluster_state_ = nullptr;  // null outside a term
+  cluster::ClusterState* cluster_state_ = nullptr;  // Null outside a term.
   std::set<std::string> released_;
 };
 
--- a/src/coordination/fleet/scale_in.cpp
+++ b/src/coordination/fleet/scale_in.cpp
@@ -17,9 +17,9 @@
     case ReleaseReason::boot_timed_out:
       return "boot timed out";
     case ReleaseReason::silent:
-      return "no heartbeats";
+      return "silent";
     case ReleaseReason::unresponsive:
-      return "does not receive responses";
+      return "unresponsive";
     case ReleaseReason::quarantined:
       return "quarantined";
   }
--- a/src/coordination/fleet/scale_out.hpp
+++ b/src/coordination/fleet/scale_out.hpp
@@ -27,7 +27,7 @@
   /// Sends the request of each rental that is due, as far as the cloud's rate limit allows.
   void request_due_rentals();
   /// Settles rentals that were never requested and whose offer is paused, because the cloud refused
-  /// it to another rental.
+  /// it for another rental.
   void withdraw_refused_rentals();
   /// Records rentals for `orders`, in their order, while fewer rentals are pending than the cloud's
   /// rate limit allows calls in a second. Later plans order the remaining machines again, according
--- a/src/planning/autoscaler/bin_packer.cpp
+++ b/src/planning/autoscaler/bin_packer.cpp
@@ -52,7 +52,7 @@
 
 // Returns the zone with the most room for the gang's tasks among the zones that have room for the
 // whole gang or in which machines can be rented; if there is none, among all zones. Returns nothing
-// without any zone.
+// if there is no zone.
 std::optional<std::string> BinPacker::choose_gang_zone(const TaskDemand& demand) const {
   std::optional<std::string> best;
   std::int64_t best_room = 0;
--- a/src/planning/autoscaler/capacity_demand.cpp
+++ b/src/planning/autoscaler/capacity_demand.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-constexpr std::int64_t unlimited_cpus = std::int64_t{1} << 60;  // thousandths
+constexpr std::int64_t unlimited_cpus = std::int64_t{1} << 60;  // Thousandths of CPUs
 // Maximum number of rounds, one after another, in which the tasks of an array run.
 constexpr double max_rounds = 4.0;
 // Number of rounds for an array without a deadline.
--- a/src/planning/autoscaler/scale_in_policy.hpp
+++ b/src/planning/autoscaler/scale_in_policy.hpp
@@ -35,9 +35,9 @@
 
   /// Returns the ids of machines to drain, at most the share `constants::drain_share` of the
   /// candidates. Candidates are machines that have reported and in whose room nothing was packed.
-  /// Those with the fewest CPUs used by services come first, then the dearest per CPU, then those
-  /// with the fewest CPUs in use. A machine with replicas is selected only if they are few and fit
-  /// elsewhere.
+  /// Those with the fewest CPUs used by services come first, then those with the highest price per
+  /// CPU, then those with the fewest CPUs in use. A machine with replicas is selected only if they
+  /// are few and fit elsewhere.
   std::vector<std::string> choose_machines_to_drain();
 
  private:
--- a/tests/unit/capacity_demand_test.cpp
+++ b/tests/unit/capacity_demand_test.cpp
@@ -45,8 +45,7 @@
 }
 
 TEST_F(CapacityDemandTest, TasksOfAnArrayShareRoomInAsManyRoundsAsItsDeadlineAllows) {
-  JobSpec array =
-      spec("a", JobKind::array, 8, Priority::normal);  // Expected run time of a task: 20 s
+  JobSpec array = spec("a", JobKind::array, 8, Priority::normal);  // 20 s per task
   array.deadline = Seconds{40};
   add(cluster_state, array);
   Job& job = cluster_state.jobs.at("a");
--- a/tests/unit/consistent_reader_test.cpp
+++ b/tests/unit/consistent_reader_test.cpp
@@ -71,8 +71,8 @@
 }
 
 TEST_F(ConsistentReaderTest, ReadsAJobThatIsMissingFromTheCache) {
-  caller.response_delay =
-      Seconds{0.5};  // The watch delivers the job after the compare has been sent.
+  // The watch delivers the job after the compare has been sent.
+  caller.response_delay = Seconds{0.5};
   write_job();
   EXPECT_EQ(confirm(), ReadResult::active);
 }
--- a/tests/unit/inventory_reconciler_test.cpp
+++ b/tests/unit/inventory_reconciler_test.cpp
@@ -13,8 +13,8 @@
  protected:
   InventoryReconcilerTest() {
     inventory.begin_term(caller.now());
-    queue.run_until(2 * settings.list_lag.count() +
-                    2);  // Lists cannot be older than the term from here on.
+    // Afterwards no machine list can be older than the term.
+    queue.run_until(2 * settings.list_lag.count() + 2);
   }
   static std::string listed(const std::string& id, const std::string& state,
                             const std::string& type = "t") {
--- a/tests/unit/scale_out_test.cpp
+++ b/tests/unit/scale_out_test.cpp
@@ -26,7 +26,7 @@
   }
 }
 
-TEST(OfferBackoffTest, AGrantResetsThePause) {
+TEST(OfferBackoffTest, ASuccessfulRequestResetsThePause) {
   const Offer offer{"t", "a", true};
   const SteadyTime now{Seconds{100}};
   OfferBackoff backoff;
