--- a/src/coordination/api/consistent_reader.hpp
+++ b/src/coordination/api/consistent_reader.hpp
@@ -37,8 +37,8 @@
 
   /// Confirms that the cache is current for the job, or reads the job again if it is not.
   ///
-  /// Queries within `constants::poll_batch_window` are combined into one compare, or more if the
-  /// state service's limit on conditions requires it. `done` is called exactly once.
+  /// Queries made within `constants::poll_batch_window` are combined into one compare, or more if
+  /// the state service's limit on conditions requires it. `done` is called exactly once.
   void confirm_current(const std::string& id, Callback done);
 
   /// Reads the job's records from the state service into the cache. `done` is called exactly once.
