--- a/tests/unit/job_api_test.cpp
+++ b/tests/unit/job_api_test.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Responses to users: each reason for a rejection, at once and with nothing stored; repeats.
+/// Responses to users: rejections, which are immediate and store nothing, repeated submissions, and
+/// outdated reads.
 #include "coordination/api/job_api.hpp"
 
 #include <gtest/gtest.h>
@@ -36,16 +37,16 @@
             {"guess_s", 240.0},   {"mark_every_s", 30}, {"mark_cost_s", 4.0}, {"due_s", nullptr}};
   }
 
-  /// The response; `response_time` is how long it took.
+  /// Returns the response, and sets `response_time` to the seconds until it was given.
   HttpResponse submit(const Json& body) {
-    HttpResponse got;
+    HttpResponse received;
     const double sent_at = queue.now();
     job_api.submit(body.dump(), [&](HttpResponse response) {
-      got = std::move(response);
+      received = std::move(response);
       response_time = queue.now() - sent_at;
     });
     queue.run_until(sent_at + 2);
-    return got;
+    return received;
   }
 
   JobApi job_api{caller, store, shared_state, settings, [](const auto&) { return TaskCounts{}; }};
@@ -54,7 +55,7 @@
 
 TEST_F(JobApiTest, RejectsInadmissibleJobsAtOnceAndStoresNothing) {
   struct Case {
-    const char* what;
+    const char* description;
     std::vector<std::pair<const char*, Json>> fields;
     int status;
   };
@@ -66,9 +67,9 @@
       {"a gang over the team's GPUs",
        {{"shape", "gang"}, {"pieces", 3}, {"cores", 1}, {"gpus", 1}},
        422},
-      {"too many cores for any type", {{"cores", 33}}, 422},
+      {"too many CPUs for any type", {{"cores", 33}}, 422},
       {"too much memory for any type", {{"ram_gb", 65}}, 422},
-      {"too many gpus for any type", {{"gpus", 9}}, 422},
+      {"too many GPUs for any type", {{"gpus", 9}}, 422},
       {"no such type", {{"builds", {"x9"}}}, 422},
       {"no type allowed", {{"builds", Json::array()}}, 422},
       {"does not fit the allowed type", {{"builds", {"c4"}}}, 422},
@@ -76,22 +77,22 @@
        {{"builds", {"c4"}}, {"gpus", 0}, {"yard", "b"}},
        422},
       {"no such zone", {{"yard", "z"}}, 422},
-      {"a task above the team's gpus", {{"gpus", 3}}, 422},
-      {"a service's tasks above the team's cores", {{"shape", "standing"}, {"pieces", 6}}, 422},
-      {"a service's tasks above the team's gpus", {{"shape", "standing"}, {"pieces", 3}}, 422},
+      {"a task above the team's GPUs", {{"gpus", 3}}, 422},
+      {"a service's tasks above the team's CPUs", {{"shape", "standing"}, {"pieces", 6}}, 422},
+      {"a service's tasks above the team's GPUs", {{"shape", "standing"}, {"pieces", 3}}, 422},
       {"no tasks", {{"pieces", 0}}, 400},
-      {"no name", {{"id", "412"}}, 400},
+      {"malformed id", {{"id", "412"}}, 400},
   };
-  for (const Case& each : cases) {
+  for (const Case& test_case : cases) {
     Json body = submission();
-    for (const auto& [field, value] : each.fields) body[field] = value;
+    for (const auto& [field, value] : test_case.fields) body[field] = value;
     for (int repeat = 0; repeat < 2; ++repeat) {
-      const HttpResponse got = submit(body);
-      EXPECT_EQ(got.status, each.status) << each.what << " " << got.body;
-      EXPECT_EQ(response_time, 0) << each.what;
-      EXPECT_TRUE(Json::parse(got.body).at("error").is_string()) << each.what;
+      const HttpResponse received = submit(body);
+      EXPECT_EQ(received.status, test_case.status) << test_case.description << " " << received.body;
+      EXPECT_EQ(response_time, 0) << test_case.description;
+      EXPECT_TRUE(Json::parse(received.body).at("error").is_string()) << test_case.description;
     }
-    EXPECT_FALSE(service.has(storage::job_key("req-000412"))) << each.what;
+    EXPECT_FALSE(service.has(storage::job_key("req-000412"))) << test_case.description;
   }
 }
 
@@ -128,21 +129,21 @@
   EXPECT_FALSE(service.has(storage::job_key("req-000412")));
 }
 
-// A compare that was answered late says nothing about now: another controller may have reported
-// a later state.
-TEST_F(JobApiTest, DoesNotReportAStateThatWasReadTooLongAgo) {
+// A late response to a compare does not prove the current state: another controller may have
+// reported a later one.
+TEST_F(JobApiTest, DoesNotReportAStateFromAnOutdatedRead) {
   ASSERT_EQ(submit(submission()).status, 201);
   const auto show_after = [&](double response_delay) {
-    HttpResponse got;
+    HttpResponse received;
     caller.response_delay = Seconds{response_delay};
-    job_api.show("req-000412", [&](HttpResponse response) { got = std::move(response); });
+    job_api.show("req-000412", [&](HttpResponse response) { received = std::move(response); });
     queue.run_until(queue.now() + 3);
-    return got;
+    return received;
   };
   EXPECT_EQ(show_after(0.5).status, 200);
-  const HttpResponse late = show_after(1.5);
-  EXPECT_EQ(late.status, 503);
-  EXPECT_TRUE(late.retry_after.count() > 0);
+  const HttpResponse outdated = show_after(1.5);
+  EXPECT_EQ(outdated.status, 503);
+  EXPECT_TRUE(outdated.retry_after.count() > 0);
 }
 
 }  // namespace
