--- a/src/cluster/attempt_numbers.hpp
+++ b/src/cluster/attempt_numbers.hpp
@@ -10,7 +10,7 @@
 namespace poppystile::cluster {
 
 /// Generates the attempt numbers of one leader's term. The upper bits are the leader's fencing
-/// token, the lower `attempt_bits` a counter that begins at 1.
+/// token, the lower `attempt_counter_bits` a counter that begins at 1.
 class AttemptNumbers {
  public:
   /// `used`: how many of the token's attempt numbers were generated before.
@@ -21,8 +21,8 @@
   /// a task at most once. `nullopt` when the token's numbers are exhausted: a further one would
   /// belong to the next token.
   std::optional<std::uint64_t> next() {
-    if (used_ + 1 >= std::uint64_t{1} << constants::attempt_bits) return std::nullopt;
-    return (token_ << constants::attempt_bits) | ++used_;
+    if (used_ + 1 >= std::uint64_t{1} << constants::attempt_counter_bits) return std::nullopt;
+    return (token_ << constants::attempt_counter_bits) | ++used_;
   }
 
  private:
--- a/src/cluster/cluster_state.cpp
+++ b/src/cluster/cluster_state.cpp
@@ -17,7 +17,7 @@
 }
 
 Placement& ClusterState::place(Machine& machine, Job& job, std::uint64_t attempt, SteadyTime now) {
-  return restore(machine, job, job.take_waiting(machine), attempt, now);
+  return restore(machine, job, job.place_next_waiting_task(machine), attempt, now);
 }
 
 Placement& ClusterState::restore(Machine& machine, Job& job, std::uint32_t index,
--- a/src/cluster/job.cpp
+++ b/src/cluster/job.cpp
@@ -7,7 +7,7 @@
 
 namespace poppystile::cluster {
 
-std::uint32_t Job::take_waiting(Machine& machine) {
+std::uint32_t Job::place_next_waiting_task(Machine& machine) {
   std::uint32_t index = 0;
   if (!requeued.empty()) {
     index = requeued.back();
@@ -31,7 +31,7 @@
 }
 
 void Job::reset_failures() {
-  failed_on.clear();
+  failed_machines.clear();
   retry_pause = longest_failed_run = Seconds{0};
 }
 
--- a/src/cluster/job.hpp
+++ b/src/cluster/job.hpp
@@ -39,10 +39,10 @@
   std::uint32_t finished = 0;                              // Number of finished tasks.
   std::uint32_t running = 0;                               // Number of running tasks.
 
-  SteadyTime retry_at;              // No task is placed before this time.
-  Seconds retry_pause{0};           // Above 0 while the job fails on every machine.
-  std::set<std::string> failed_on;  // Machines on which a task failed since `reset_failures`.
-  Seconds longest_failed_run{0};    // Longest run of a failed task since `reset_failures`.
+  SteadyTime retry_at;                    // No task is placed before this time.
+  Seconds retry_pause{0};                 // Above 0 while the job fails on every machine.
+  std::set<std::string> failed_machines;  // Machines on which a task failed since `reset_failures`.
+  Seconds longest_failed_run{0};          // Longest run of a failed task since `reset_failures`.
 
   GangAttempt gang;  // Used only for gangs.
 
@@ -66,7 +66,7 @@
 
   /// Marks the next waiting task as placed on the machine and returns its index. At least one task
   /// must be waiting.
-  std::uint32_t take_waiting(Machine& machine);
+  std::uint32_t place_next_waiting_task(Machine& machine);
 
   /// Marks a task that has left its machine as waiting.
   void requeue(std::uint32_t index);
--- a/src/constants.hpp
+++ b/src/constants.hpp
@@ -110,7 +110,7 @@
 inline constexpr std::uint64_t resign_ratio = 4;
 // Longest time between two heartbeats of a worker, as a multiple of `heartbeat_interval`
 // (PROTOCOL: the interval varies by a quarter).
-inline constexpr double heartbeat_jitter = 1.25;
+inline constexpr double max_heartbeat_interval_factor = 1.25;
 // Fewest machines for which missing heartbeats are evidence that workers do not reach the leader.
 // Not more: in a small fleet the worker leases would expire while its leader waits for the peers'
 // counts.
@@ -121,7 +121,7 @@
 // A leader that can no longer receive cancellations may respond to workers for a limited time. A
 // leader that has not yet replayed the journal has only this fraction of that time, because
 // cancellations may have been pending since before its election.
-inline constexpr double unready_response_share = 0.25;
+inline constexpr double response_share_before_replay = 0.25;
 
 // --- users ---
 // Seconds for which polls are gathered, to be confirmed by one compare.
@@ -137,7 +137,7 @@
 // Tasks in one job; PROTOCOL's limit.
 inline constexpr std::uint64_t max_tasks = 100'000;
 // Bytes of the longest job id accepted; every key that contains a job id stays below 200 bytes.
-inline constexpr std::size_t max_id_bytes = 40;
+inline constexpr std::size_t max_job_id_bytes = 40;
 // Bytes of each text of a submission. They are short names; the limit keeps a job record below the
 // value limit.
 inline constexpr std::size_t max_name_bytes = 200;
@@ -150,25 +150,25 @@
 // since it replaces the job's record.
 inline constexpr int min_txn_ops = 2;
 // Fraction of a value's bytes that a bitmap in hex may take. The rest is for the entry around it,
-// which contains one job id of at most `max_id_bytes`, and for the record.
+// which contains one job id of at most `max_job_id_bytes`, and for the record.
 inline constexpr double bitmap_value_share = 0.5;
 // Bytes of the longest index range in a journal entry, with the cloud's machine names in PROTOCOL's
 // form and indices of five digits. A longer range makes its entry longer than planned, for which
 // the fraction of the value that is left free suffices.
-inline constexpr std::size_t journal_run_bytes = 40;
+inline constexpr std::size_t max_journal_range_bytes = 40;
 // Tasks in one bitmap of finished tasks in a snapshot; fewer where values must be small.
 inline constexpr std::size_t max_bitmap_chunk_tasks = 16'000;
 // Bytes of values in one transaction; PROTOCOL limits the whole transaction to 64 KiB.
 inline constexpr std::size_t max_transaction_bytes = 48'000;
 // Segments in the ring of keys that the journal reuses.
-inline constexpr std::uint64_t journal_ring = 1024;
+inline constexpr std::uint64_t journal_ring_segments = 1024;
 // The number of segments that may follow a snapshot is proportional to the snapshot's chunks, at
-// least `min_open_segments` and at most the whole ring. The next snapshot is due after half of that
-// number, so that the other half is available while the snapshot is written. Version 0.1.0 has a
-// ring of only `min_open_segments`, and can continue a longer journal once it has written a
-// snapshot of its own.
-inline constexpr std::uint64_t min_open_segments = 256;
-inline constexpr std::uint64_t open_segments_per_chunk = 4;
+// least `min_segments_after_snapshot` and at most the whole ring. The next snapshot is due after
+// half of that number, so that the other half is available while the snapshot is written. Version
+// 0.1.0 has a ring of only `min_segments_after_snapshot`, and can continue a longer journal once it
+// has written a snapshot of its own.
+inline constexpr std::uint64_t min_segments_after_snapshot = 256;
+inline constexpr std::uint64_t segments_per_snapshot_chunk = 4;
 // A snapshot is due after this many bytes of segments, or after `segment_bytes_per_snapshot_byte`
 // times the bytes of the last snapshot if that is more: at most every third byte written then
 // belongs to a snapshot.
@@ -176,7 +176,7 @@
 inline constexpr std::size_t segment_bytes_per_snapshot_byte = 2;
 // Elements of one stored journal entry, so that a record can be split between entries; fewer where
 // values must be small.
-inline constexpr std::size_t max_journal_entry_runs = 64;
+inline constexpr std::size_t max_journal_entry_elements = 64;
 // Fraction of the state service's changes per second at which the journal sends transactions. At
 // the usual limits this is about one every 0.15 s, which the start of a task waits for, too.
 inline constexpr double journal_rate_share = 0.15;
@@ -197,7 +197,7 @@
 // job's record came first.
 inline constexpr Seconds finalize_sweep_interval{2.0};
 // Lower bits of an attempt number, which count the attempts of one leader's fencing token.
-inline constexpr int attempt_bits = 24;
+inline constexpr int attempt_counter_bits = 24;
 
 // --- workers ---
 // Seconds between ticks of the leader; half of `finalize_interval`.
@@ -212,7 +212,7 @@
 inline constexpr Seconds overdue_slack{1.0};
 // Seconds for which new tasks avoid a machine after a failure, doubled for each of its failures in
 // a row: 8 s after the first, at most 64 s.
-inline constexpr Seconds initial_avoid_time{4};
+inline constexpr Seconds base_avoid_time{4};
 // Seconds for which the response to a heartbeat may be delayed until the placement of a task to be
 // started is durable in the journal. Far below `worker_response_timeout`, and below the time
 // between heartbeats.
@@ -231,8 +231,8 @@
 // --- planning ---
 // Cost units of the LABL paper (section 3.1): a task whose image is cached on its machine, and a
 // task whose image is not.
-inline constexpr double local_units = 1.0;
-inline constexpr double remote_units = 3.0;
+inline constexpr double local_task_units = 1.0;
+inline constexpr double remote_task_units = 3.0;
 // Cost units; how far LABL's latency limit may rise above the lower bound at which it starts while
 // remote placement is still considered. The paper leaves the value open. Default of the property
 // `planner.remote-offset-units`.
@@ -295,10 +295,10 @@
 
 // --- machines ---
 // A machine that never sent a heartbeat is released after this multiple of its type's boot time
-// plus `boot_timeout_floor`.
+// plus `boot_timeout_allowance`.
 inline constexpr double boot_timeout_factor = 4.0;
 // Seconds; allowance for types whose boot time is close to zero.
-inline constexpr Seconds boot_timeout_floor{30.0};
+inline constexpr Seconds boot_timeout_allowance{30.0};
 // Seconds beyond its worker lease for which a machine may be silent before it is released. The
 // cloud lists a machine that has failed after half a minute; one that hangs or is cut off may
 // return with its cached images.
@@ -307,20 +307,20 @@
 // at least 60 s of rent. Default of the property `fleet.idle-keep-s`.
 inline constexpr Seconds idle_keep{40.0};
 // Multiple of that highest demand for which capacity is kept, to have some for new work.
-inline constexpr double fleet_headroom = 1.1;
+inline constexpr double demand_headroom_factor = 1.1;
 // Largest fraction of the machines that are candidates for draining of which draining may start in
 // one capacity pass.
-inline constexpr double drain_share = 0.05;
+inline constexpr double max_drain_share = 0.05;
 // Largest fraction of a machine's cpus used by services at which it may be drained by moving their
 // replicas to other machines.
-inline constexpr double move_share = 0.5;
+inline constexpr double max_moved_cpu_share = 0.5;
 // Largest fraction of all replicas' run time that may be lost by moving replicas.
-inline constexpr double moving_cost = 0.005;
+inline constexpr double max_moving_downtime_share = 0.005;
 // Seconds; if the pause between two moves would have to be longer than this, there are so few
 // replicas that a single move has a noticeable cost, and none is moved.
-inline constexpr Seconds max_moving_pause{60};
+inline constexpr Seconds max_pause_between_moves{60};
 // Heartbeat intervals for which a replica is down while it is moved.
-inline constexpr double moving_reports = 2.0;
+inline constexpr double move_downtime_heartbeats = 2.0;
 // Failures in a row, of at least two different jobs, after which a machine is quarantined.
 inline constexpr int quarantine_failures = 3;
 // Seconds; first and longest pause before tasks of a job that fails on every machine are tried
@@ -338,7 +338,7 @@
 // Seconds before a release that the cloud refused or did not answer is sent again.
 inline constexpr Seconds release_retry_pause{1.0};
 // Machines in one release request; PROTOCOL's limit.
-inline constexpr std::size_t max_released = 100;
+inline constexpr std::size_t max_machines_per_release = 100;
 // Fraction of the cloud's rate limit that fetching the pages of a machine list may use.
 inline constexpr double list_call_share = 0.25;
 // Seconds between the end of one machine list and the start of the next.
@@ -353,13 +353,13 @@
 // Seconds between passes that adjust the size of the fleet.
 inline constexpr Seconds capacity_pass_interval{1.0};
 // Machines in one rental request; PROTOCOL's limit.
-inline constexpr int max_rented_machines = 50;
+inline constexpr int max_machines_per_rental = 50;
 // Seconds; a machine for a service is worth twice its price when its replica starts this much
 // sooner. About one boot time: below it the price decides, far above it the speed.
-inline constexpr Seconds service_delay_worth{30.0};
+inline constexpr Seconds service_price_doubling_delay{30.0};
 // Relative surcharge on an offer's price when the whole fleet consists of that offer: no machine
 // type or zone should provide all capacity.
-inline constexpr double kind_spread = 0.3;
+inline constexpr double max_concentration_surcharge = 0.3;
 // Fraction of the running services' tasks for which additional capacity is kept free or booting.
 // Default of the property `fleet.service-reserve`.
 inline constexpr double service_reserve = 0.12;
--- a/src/coordination/fleet/cloud_client.hpp
+++ b/src/coordination/fleet/cloud_client.hpp
@@ -53,7 +53,7 @@
   /// if capacity is short. Idempotent: a repeated call with the same `name` rents no more machines.
   void request_rental(const std::string& name, const storage::RentalRecord& rental,
                       const CloudCallback<std::vector<std::string>>& done);
-  /// Releases at most `constants::max_released` machines, given by id. Idempotent.
+  /// Releases at most `constants::max_machines_per_release` machines, given by id. Idempotent.
   void release(const std::vector<std::string>& machines, const CloudCallback<void>& done);
   /// Fetches the page of the machine list that begins after the machine with the id `after`, or the
   /// first page if `after` is empty.
--- a/src/coordination/fleet/machine_releaser.cpp
+++ b/src/coordination/fleet/machine_releaser.cpp
@@ -34,7 +34,7 @@
   std::vector<std::string> batch;
   for (const auto& id : scheduled_) {
     batch.push_back(id);
-    if (batch.size() == constants::max_released) break;
+    if (batch.size() == constants::max_machines_per_release) break;
   }
   send(batch);
 }
--- a/src/coordination/fleet/machine_releaser.hpp
+++ b/src/coordination/fleet/machine_releaser.hpp
@@ -31,8 +31,8 @@
   void begin_term();
   /// Marks a machine as releasing, which excludes it from use, and schedules its release.
   void schedule(cluster::Machine& machine);
-  /// Sends at most `constants::max_released` scheduled machines if no batch is in flight, the pause
-  /// after a failed batch has ended, and the cloud's rate limit allows a call.
+  /// Sends at most `constants::max_machines_per_release` scheduled machines if no batch is in
+  /// flight, the pause after a failed batch has ended, and the cloud's rate limit allows a call.
   void send_batch_if_due();
 
  private:
--- a/src/coordination/fleet/scale_in.cpp
+++ b/src/coordination/fleet/scale_in.cpp
@@ -62,7 +62,7 @@
   const protocol::MachineType* type = catalog_.find(machine.type);
   const Seconds boot_time = type == nullptr ? Seconds{0} : type->boot_time;
   const Seconds age = runtime_.wall_now() - machine.rented_at;
-  return age > boot_time * constants::boot_timeout_factor + constants::boot_timeout_floor;
+  return age > boot_time * constants::boot_timeout_factor + constants::boot_timeout_allowance;
 }
 
 bool ScaleIn::is_silent(const Machine& machine) const {
--- a/src/coordination/journal/journal_record.cpp
+++ b/src/coordination/journal/journal_record.cpp
@@ -10,8 +10,8 @@
   const std::size_t max_bytes = limits.max_value_bytes();
   const double hex_digits = constants::bitmap_value_share * static_cast<double>(max_bytes);
   return {
-      std::clamp<std::size_t>(max_bytes / constants::journal_run_bytes, 1,
-                              constants::max_journal_entry_runs),
+      std::clamp<std::size_t>(max_bytes / constants::max_journal_range_bytes, 1,
+                              constants::max_journal_entry_elements),
       // A multiple of four, since a hex digit holds four tasks.
       std::clamp<std::size_t>(4 * static_cast<std::size_t>(hex_digits), 4,
                               constants::max_bitmap_chunk_tasks),
--- a/src/coordination/journal/segment_queue.cpp
+++ b/src/coordination/journal/segment_queue.cpp
@@ -30,7 +30,7 @@
   for (const auto& entries : group_by_record_size(std::exchange(unsealed_, {}), max_bytes)) {
     JournalRecord segment;
     segment.number = next_number_++;
-    segment.key = storage::segment_key(segment.number % constants::journal_ring);
+    segment.key = storage::segment_key(segment.number % constants::journal_ring_segments);
     segment.value = storage::encode_chunk(segment.number, token, entries);
     segment.log_position = committed_position;
     bytes += segment.value.size();
--- a/src/coordination/journal/snapshot_schedule.cpp
+++ b/src/coordination/journal/snapshot_schedule.cpp
@@ -61,8 +61,8 @@
 
 std::uint64_t SnapshotSchedule::max_segments_since() const {
   const std::uint64_t chunks = next_head_ ? next_head_->snapshot_chunks : head_.snapshot_chunks;
-  return std::clamp(constants::open_segments_per_chunk * chunks, constants::min_open_segments,
-                    constants::journal_ring);
+  return std::clamp(constants::segments_per_snapshot_chunk * chunks,
+                    constants::min_segments_after_snapshot, constants::journal_ring_segments);
 }
 
 std::size_t SnapshotSchedule::max_chunks_per_write() const {
--- a/src/coordination/leader/machine_health.cpp
+++ b/src/coordination/leader/machine_health.cpp
@@ -66,7 +66,7 @@
   if (job == nullptr || is_blameless_cause(cause)) return;
   // Repeated failures of a job on the same machine give an operator no further information.
   const bool is_new_information =
-      cause != ExitCause::error || job->failed_on.insert(machine.id).second;
+      cause != ExitCause::error || job->failed_machines.insert(machine.id).second;
   spdlog::log(is_new_information ? spdlog::level::info : spdlog::level::debug,
               "task failed job={} index={} machine={} cause={}", placement.job, placement.index,
               machine.id, protocol::to_string(cause));
@@ -79,7 +79,7 @@
 
 // A job that has finished tasks is taken to be faultless, however many machines it failed on.
 bool MachineHealth::is_job_at_fault(const Job& job, ExitCause cause) {
-  return (job.finished == 0 && job.failed_on.size() >= 2) || cause == ExitCause::unknown;
+  return (job.finished == 0 && job.failed_machines.size() >= 2) || cause == ExitCause::unknown;
 }
 
 void MachineHealth::delay_retry(const std::string& id, Job& job) const {
@@ -90,14 +90,14 @@
       std::clamp(job.retry_pause * 2, constants::initial_retry_pause, constants::max_retry_pause);
   job.retry_at = now + job.retry_pause;
   spdlog::info("job fails on every machine id={} machines={} next_try_s={}", id,
-               job.failed_on.size(), job.retry_pause.count());
+               job.failed_machines.size(), job.retry_pause.count());
 }
 
 void MachineHealth::record_machine_failure(Machine& machine, const std::string& job) const {
   ++machine.failures;
   machine.failed_jobs.insert(job);
   machine.avoid_until =
-      runtime_.now() + constants::initial_avoid_time * (1 << std::min(machine.failures, 4));
+      runtime_.now() + constants::base_avoid_time * (1 << std::min(machine.failures, 4));
   if (machine.failures < constants::quarantine_failures || machine.failed_jobs.size() < 2) return;
   if (std::exchange(machine.quarantined, true)) return;
   spdlog::info("machine quarantined id={} failures={}", machine.id, machine.failures);
--- a/src/coordination/leader/replica_rebalancer.cpp
+++ b/src/coordination/leader/replica_rebalancer.cpp
@@ -13,7 +13,7 @@
   const Candidates candidates = find_candidates();
   if (candidates.next == nullptr) return;
   const Seconds pause = pause_between_moves(candidates.replicas);
-  if (pause > constants::max_moving_pause) return;
+  if (pause > constants::max_pause_between_moves) return;
   candidates.next->stopping = true;
   next_move_at_ = now + pause;
 }
@@ -32,8 +32,8 @@
 }
 
 Seconds ReplicaRebalancer::pause_between_moves(std::size_t replicas) const {
-  return constants::moving_reports * settings_.heartbeat_interval /
-         (static_cast<double>(replicas) * constants::moving_cost);
+  return constants::move_downtime_heartbeats * settings_.heartbeat_interval /
+         (static_cast<double>(replicas) * constants::max_moving_downtime_share);
 }
 
 }  // namespace poppystile::coordination
--- a/src/coordination/leader/replica_rebalancer.hpp
+++ b/src/coordination/leader/replica_rebalancer.hpp
@@ -13,7 +13,7 @@
 
 /// Moves one replica at a time. A replica is down from its stop until its start on another machine.
 /// The pause between two moves limits that downtime to a small share of all replicas' time
-/// (`moving_cost`).
+/// (`max_moving_downtime_share`).
 class ReplicaRebalancer {
  public:
   ReplicaRebalancer(const transport::Runtime& runtime, cluster::ClusterState& cluster_state,
@@ -21,7 +21,8 @@
       : runtime_(runtime), cluster_state_(cluster_state), settings_(settings) {}
 
   /// Stops one replica that runs on a draining machine, if the pause after the last move has
-  /// passed. Stops none if replicas are so few that the pause would exceed `max_moving_pause`.
+  /// passed. Stops none if replicas are so few that the pause would exceed
+  /// `max_pause_between_moves`.
   void run_pass();
 
  private:
--- a/src/coordination/leader/scheduling_loop.cpp
+++ b/src/coordination/leader/scheduling_loop.cpp
@@ -69,7 +69,7 @@
   planning::PlanningContext context;
   context.now = now;
   context.teams = &settings_.teams;
-  context.weights = {constants::local_units, constants::remote_units,
+  context.weights = {constants::local_task_units, constants::remote_task_units,
                      properties_.remote_offset_units, true};
   context.heartbeat_interval = settings_.heartbeat_interval;
   context.wall_now = runtime_.wall_now();
--- a/src/coordination/leader/task_reconciler.cpp
+++ b/src/coordination/leader/task_reconciler.cpp
@@ -75,7 +75,7 @@
 }
 
 bool TaskReconciler::has_outlived_failures(const Placement& placement, const Job& job) const {
-  return placement.phase == PlacementPhase::running && !job.failed_on.empty() &&
+  return placement.phase == PlacementPhase::running && !job.failed_machines.empty() &&
          runtime_.now() - placement.phase_started_at >
              2 * (job.longest_failed_run + settings_.heartbeat_interval);
 }
--- a/src/coordination/peers/cancellation_tracker.cpp
+++ b/src/coordination/peers/cancellation_tracker.cpp
@@ -68,7 +68,7 @@
 }
 
 SteadyTime CancellationTracker::may_respond_until_before_replay(SteadyTime elected_at) const {
-  return elected_at + response_budget() * constants::unready_response_share;
+  return elected_at + response_budget() * constants::response_share_before_replay;
 }
 
 // Returns how long after a cancellation that has not reached this leader it may still respond, so
--- a/src/coordination/peers/worker_reachability.cpp
+++ b/src/coordination/peers/worker_reachability.cpp
@@ -57,8 +57,8 @@
 // if its lease may have expired, as in an outage of the state service: no peer could take over.
 bool WorkerReachability::all_workers_silent(const LeaderObservation& leader) const {
   const Seconds silence = silent_intervals_ * constants::peer_heartbeat_interval;
-  return silence >
-             constants::heartbeat_jitter * settings_.heartbeat_interval + constants::lease_margin &&
+  return silence > constants::max_heartbeat_interval_factor * settings_.heartbeat_interval +
+                       constants::lease_margin &&
          leader.responsive_machines >= constants::reachability_min_machines && leader.lease_holds;
 }
 
--- a/src/planning/autoscaler/autoscaler.cpp
+++ b/src/planning/autoscaler/autoscaler.cpp
@@ -18,7 +18,7 @@
   std::vector<RentalOrder> orders;
   orders.reserve(missing_machines.size());
   for (const auto& [offer, count] : missing_machines)
-    orders.push_back({offer, std::min(count, constants::max_rented_machines)});
+    orders.push_back({offer, std::min(count, constants::max_machines_per_rental)});
   std::stable_sort(orders.begin(), orders.end(),
                    [](const RentalOrder& a, const RentalOrder& b) { return a.count > b.count; });
   return orders;
--- a/src/planning/autoscaler/offer_selector.cpp
+++ b/src/planning/autoscaler/offer_selector.cpp
@@ -12,13 +12,14 @@
 
 namespace {
 
-// Price factor for the delay until a task starts: it doubles with each `service_delay_worth`. The
-// waiting time of a service is measured from its submission, so a type that boots and fetches
-// slowly is worth less. The factor is 1 for other jobs; arrays are measured by their deadline.
+// Price factor for the delay until a task starts: it doubles with each
+// `service_price_doubling_delay`. The waiting time of a service is measured from its submission, so
+// a type that boots and fetches slowly is worth less. The factor is 1 for other jobs; arrays are
+// measured by their deadline.
 double start_delay_factor(const JobSpec& spec, const MachineType& type) {
   if (spec.kind != JobKind::service) return 1;
   const Seconds delay = type.boot_time + Seconds{spec.image_gb / type.fetch_gb_per_s};
-  return std::exp2(delay / constants::service_delay_worth);
+  return std::exp2(delay / constants::service_price_doubling_delay);
 }
 
 /// The on-demand and spot offers of the type in each of its zones.
@@ -34,7 +35,8 @@
 /// boots.
 double weighted_price(double price, const Offer& offer, const FleetComposition& composition) {
   // Spreads the fleet, so that no type or zone holds all machines.
-  const double spread_factor = 1 + constants::kind_spread * composition.available_share(offer);
+  const double spread_factor =
+      1 + constants::max_concentration_surcharge * composition.available_share(offer);
   return price * spread_factor * (1 + composition.overdue_share(offer));
 }
 
--- a/src/planning/autoscaler/scale_in_policy.cpp
+++ b/src/planning/autoscaler/scale_in_policy.cpp
@@ -44,7 +44,7 @@
   const std::vector<Candidate> candidates = sorted_candidates();
   std::int64_t excess = excess_cpus();
   const auto max_drains = static_cast<std::size_t>(
-      std::ceil(static_cast<double>(candidates.size()) * constants::drain_share));
+      std::ceil(static_cast<double>(candidates.size()) * constants::max_drain_share));
   for (const auto& candidate : candidates) {
     if (ids.size() == max_drains) break;
     Bin& bin = *candidate.bin;
@@ -83,7 +83,7 @@
   for (const auto& bin : bins_)
     if (bin.machine != nullptr) supply += bin.machine->size.cpus;
   return supply - static_cast<std::int64_t>(static_cast<double>(context_.peak_cpus) *
-                                            constants::fleet_headroom);
+                                            constants::demand_headroom_factor);
 }
 
 double ScaleInPolicy::price_per_cpu(const Machine& machine) const {
@@ -94,11 +94,12 @@
 }
 
 // Reserves room on other machines for all replicas on the source. Returns false, and reserves
-// nothing, if the replicas use more than `move_share` of the source's CPUs or do not all fit.
+// nothing, if the replicas use more than `max_moved_cpu_share` of the source's CPUs or do not all
+// fit.
 bool ScaleInPolicy::reserve_room_for_replicas(Bin& source) {
   const Machine& machine = *source.machine;
   if (static_cast<double>(source.service_cpus) >
-      constants::move_share * static_cast<double>(machine.size.cpus))
+      constants::max_moved_cpu_share * static_cast<double>(machine.size.cpus))
     return false;
   std::vector<std::pair<Bin*, Resources>> reserved;
   for (const auto& placement : machine.placements) {
--- a/src/planning/autoscaler/scale_in_policy.hpp
+++ b/src/planning/autoscaler/scale_in_policy.hpp
@@ -33,7 +33,7 @@
                 std::vector<Bin>& bins)
       : cluster_state_(cluster_state), context_(context), bins_(bins) {}
 
-  /// Returns the ids of machines to drain, at most the share `constants::drain_share` of the
+  /// Returns the ids of machines to drain, at most the share `constants::max_drain_share` of the
   /// candidates. Candidates are machines that have reported and in whose room nothing was packed.
   /// Those with the fewest CPUs used by services come first, then those with the highest price per
   /// CPU, then those with the fewest CPUs in use. A machine with replicas is selected only if they
--- a/src/protocol/submission.cpp
+++ b/src/protocol/submission.cpp
@@ -69,7 +69,7 @@
 }  // namespace
 
 bool valid_job_id(const std::string& id) {
-  return id.size() > id_prefix.size() && id.size() <= constants::max_id_bytes &&
+  return id.size() > id_prefix.size() && id.size() <= constants::max_job_id_bytes &&
          id.starts_with(id_prefix) &&
          std::all_of(id.begin() + id_prefix.size(), id.end(),
                      [](unsigned char c) { return c >= '0' && c <= '9'; });
--- a/tests/unit/cancellation_tracker_test.cpp
+++ b/tests/unit/cancellation_tracker_test.cpp
@@ -120,8 +120,8 @@
   const Seconds response_budget = tracker.may_respond_until() - tracker.complete_until();
   const SteadyTime elected_at = caller.now();
   const Seconds unready_budget = tracker.may_respond_until_before_replay(elected_at) - elected_at;
-  EXPECT_NEAR(unready_budget.count(), (response_budget * constants::unready_response_share).count(),
-              1e-9);
+  EXPECT_NEAR(unready_budget.count(),
+              (response_budget * constants::response_share_before_replay).count(), 1e-9);
 }
 
 }  // namespace
--- a/tests/unit/cluster_state_test.cpp
+++ b/tests/unit/cluster_state_test.cpp
@@ -52,13 +52,13 @@
   for (int i = 0; i < 2; ++i) cluster_state.place(machine, job, 7, SteadyTime{});
   job.requeue(0);
   EXPECT_EQ(job.waiting(), 2u);
-  EXPECT_EQ(job.take_waiting(machine), 0u);
-  EXPECT_EQ(job.take_waiting(machine), 2u);
+  EXPECT_EQ(job.place_next_waiting_task(machine), 0u);
+  EXPECT_EQ(job.place_next_waiting_task(machine), 2u);
 }
 
 TEST_F(ClusterStateTest, FinishedTasksAreNotPlaced) {
   job.finish(0);
-  EXPECT_EQ(job.take_waiting(machine), 1u);
+  EXPECT_EQ(job.place_next_waiting_task(machine), 1u);
   EXPECT_FALSE(job.all_finished());
   job.finish_all();
   EXPECT_TRUE(job.all_finished());
--- a/tests/unit/journal_batch_test.cpp
+++ b/tests/unit/journal_batch_test.cpp
@@ -58,8 +58,8 @@
   SnapshotSchedule snapshots;
   snapshots.begin_term(JournalHead{3, 2, 8}, 0);
   EXPECT_FALSE(snapshots.is_due(9));
-  EXPECT_FALSE(snapshots.is_due(8 + constants::min_open_segments / 2 - 1));
-  EXPECT_TRUE(snapshots.is_due(8 + constants::min_open_segments / 2));
+  EXPECT_FALSE(snapshots.is_due(8 + constants::min_segments_after_snapshot / 2 - 1));
+  EXPECT_TRUE(snapshots.is_due(8 + constants::min_segments_after_snapshot / 2));
   snapshots.on_segment_sealed(constants::min_journal_bytes_before_snapshot - 1);
   EXPECT_FALSE(snapshots.is_due(9));
   snapshots.on_segment_sealed(1);
@@ -99,10 +99,10 @@
 TEST(SnapshotScheduleTest, LargeSnapshotsAllowMoreSegmentsAndMoreChunksPerWrite) {
   SnapshotSchedule snapshots;
   snapshots.begin_term({}, 0);
-  EXPECT_EQ(snapshots.max_segments_since(), constants::min_open_segments);
+  EXPECT_EQ(snapshots.max_segments_since(), constants::min_segments_after_snapshot);
   EXPECT_EQ(snapshots.max_chunks_per_write(), constants::min_snapshot_chunks_per_write);
   snapshots.start(std::vector<std::vector<std::string>>(1000, {R"(["g","n-1"])"}), 1, token);
-  EXPECT_EQ(snapshots.max_segments_since(), constants::journal_ring);
+  EXPECT_EQ(snapshots.max_segments_since(), constants::journal_ring_segments);
   EXPECT_EQ(snapshots.max_chunks_per_write(), 4u);
 }
 
--- a/tests/unit/journal_test.cpp
+++ b/tests/unit/journal_test.cpp
@@ -14,7 +14,7 @@
 std::vector<JournalEntry> merged(const std::vector<JournalEntry>& entries) {
   std::vector<JournalEntry> out;
   for (const JournalEntry& each : entries)
-    if (out.empty() || !merge_entries(out.back(), each, constants::max_journal_entry_runs))
+    if (out.empty() || !merge_entries(out.back(), each, constants::max_journal_entry_elements))
       out.push_back(each);
   return out;
 }
--- a/tests/unit/journal_writer_test.cpp
+++ b/tests/unit/journal_writer_test.cpp
@@ -176,7 +176,7 @@
 // Entries must fit the current limits of the state service, which may be lowered at run time.
 TEST_F(JournalWriterTest, EntriesFollowTheLimitsOfTheSettings) {
   LeaderProcess& leader = begin();
-  EXPECT_EQ(leader.journal->entry_limits().max_elements, constants::max_journal_entry_runs);
+  EXPECT_EQ(leader.journal->entry_limits().max_elements, constants::max_journal_entry_elements);
   EXPECT_EQ(leader.journal->entry_limits().max_bitmap_tasks, 14744u);
   leader.settings.state_limits.value_kb = 2;
   EXPECT_EQ(leader.journal->entry_limits().max_elements, 46u);
--- a/tests/unit/machine_health_test.cpp
+++ b/tests/unit/machine_health_test.cpp
@@ -48,7 +48,7 @@
        {ExitCause::stopped, ExitCause::peer_lost, ExitCause::gang_incomplete})
     health.record_failure(machine, placement, cause);
   EXPECT_EQ(machine.failures, 0);
-  EXPECT_TRUE(job.failed_on.empty());
+  EXPECT_TRUE(job.failed_machines.empty());
 }
 
 TEST_F(MachineHealthTest, IncarnationsThatReportNoStartMakeAMachineUnresponsive) {
--- a/tests/unit/planner_test.cpp
+++ b/tests/unit/planner_test.cpp
@@ -73,7 +73,8 @@
   job.requeue(2);
   a1.placements.clear();
   std::set<std::uint32_t> taken_indices;
-  while (job.waiting() > 0) EXPECT_TRUE(taken_indices.insert(job.take_waiting(a1)).second);
+  while (job.waiting() > 0)
+    EXPECT_TRUE(taken_indices.insert(job.place_next_waiting_task(a1)).second);
   EXPECT_EQ(taken_indices.size(), 4u);
 }
 
--- a/tests/unit/scale_in_test.cpp
+++ b/tests/unit/scale_in_test.cpp
@@ -56,16 +56,16 @@
 }
 
 TEST_F(MachineReleaserTest, SendsBoundedBatchesOneAtATime) {
-  for (std::size_t i = 0; i <= constants::max_released; ++i)
+  for (std::size_t i = 0; i <= constants::max_machines_per_release; ++i)
     releaser.schedule(add_machine("n-" + std::to_string(i)));
   releaser.send_batch_if_due();
   releaser.send_batch_if_due();
   ASSERT_EQ(cloud_http.calls.size(), 1u);
   cloud_http.answer(200, "{}");
-  EXPECT_EQ(removed.size(), constants::max_released);
+  EXPECT_EQ(removed.size(), constants::max_machines_per_release);
   releaser.send_batch_if_due();
   cloud_http.answer(200, "{}");
-  EXPECT_EQ(removed.size(), constants::max_released + 1);
+  EXPECT_EQ(removed.size(), constants::max_machines_per_release + 1);
 }
 
 class ScaleInTest : public FleetFixture {
--- a/tests/unit/scheduling_loop_test.cpp
+++ b/tests/unit/scheduling_loop_test.cpp
@@ -37,7 +37,7 @@
   ASSERT_EQ(machine.placements.size(), 1u);
   EXPECT_EQ(job.waiting(), 0u);
   for (const auto& placement : machine.placements) {
-    EXPECT_EQ(placement.attempt, (std::uint64_t{7} << constants::attempt_bits) + 1);
+    EXPECT_EQ(placement.attempt, (std::uint64_t{7} << constants::attempt_counter_bits) + 1);
     EXPECT_FALSE(journal.is_durable(placement.log_position));
   }
 }
