--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// The program: command line, settings, logging, and one controller until it is killed.
+/// The program: reads the command line and the settings, sets up logging, and runs one controller
+/// until the process is killed.
 #include <spdlog/sinks/dup_filter_sink.h>
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
@@ -30,21 +31,25 @@
 
 using namespace poppystile;
 
+// Exit status for an invalid command line, settings file or properties file.
 constexpr int exit_bad_settings = 2;
 
-/// What the command line says.
+/// The values of the command line options.
 struct Options {
   std::string settings_path;
   std::string properties_path;
   bool check_only = false;
 };
 
-/// A settings or properties file that cannot be used.
+/// Thrown for a settings or properties file that cannot be read or is invalid. `what()` starts with
+/// the path.
 struct BadFile : std::runtime_error {
   BadFile(const std::string& path, const protocol::DecodeError& error)
       : std::runtime_error(path + ": " + error.what()) {}
 };
 
+/// The level that the environment variable LOG_LEVEL selects: debug, info or error; info by
+/// default.
 spdlog::level::level_enum log_level() {
   const char* given = std::getenv("LOG_LEVEL");
   const std::string level = given == nullptr ? "info" : given;
@@ -54,7 +59,7 @@
 }
 
 void set_up_logging() {
-  // A line that repeats itself, such as one about malformed heartbeats, is written once and
+  // Equal consecutive lines, such as those about malformed heartbeats, are written once and
   // counted.
   auto filter = std::make_shared<spdlog::sinks::dup_filter_sink_st>(constants::log_repeat_window);
   filter->add_sink(std::make_shared<spdlog::sinks::stderr_sink_st>());
@@ -63,7 +68,7 @@
   spdlog::set_level(log_level());
 }
 
-/// Throws BadFile.
+/// Throws BadFile if the file cannot be read or is invalid.
 protocol::Settings read_settings(const std::string& path) {
   try {
     std::ifstream file(path);
@@ -76,7 +81,7 @@
   }
 }
 
-/// Throws BadFile.
+/// Throws BadFile if the file cannot be read or is invalid.
 protocol::Properties read_properties(const std::string& path) {
   try {
     return protocol::read_properties(path);
@@ -91,6 +96,8 @@
   return addresses;
 }
 
+/// Logs the start, and a warning if the cancel timeout leaves no time between the loss of the state
+/// service and the last response to a worker.
 void log_start(const protocol::Settings& settings) {
   spdlog::info("started name={} zone={} listen={}", settings.name, settings.zone,
                to_string(settings.listen));
@@ -101,7 +108,7 @@
         settings.cancel_timeout.count(), settings.worker_lease.count());
 }
 
-/// Serves until the process is killed.
+/// Runs the controller until the process is killed.
 int serve(const protocol::Settings& settings, const protocol::Properties& properties) {
   transport::EventLoop loop;
   transport::HttpClient client(loop);
@@ -140,7 +147,7 @@
 
 }  // namespace
 
-// What is thrown before there is a log may end the program.
+// An exception that is thrown before logging is set up may terminate the program.
 // NOLINTNEXTLINE(bugprone-exception-escape)
 int main(int argc, char** argv) {
   CLI::App app{"poppystile: a cluster scheduler"};
--- a/src/protocol/cbor_array.cpp
+++ b/src/protocol/cbor_array.cpp
@@ -7,12 +7,14 @@
 
 namespace {
 
-/// What the heads of a frame's items claim.
+/// The array sizes that the item heads of a frame declare, checked against the frame's size.
 struct SizeClaims {
   std::size_t max_items = 0;
   bool plausible = true;
 };
 
+/// Whether every item of the frame is well-formed, none is a map, and no array declares more items
+/// than the frame has bytes. Allocates no items.
 bool has_plausible_sizes(const std::string& frame) {
   SizeClaims claims{frame.size()};
   cbor_callbacks callbacks = cbor_empty_callbacks;
@@ -40,7 +42,7 @@
 
 CborArrayWriter::CborArrayWriter(std::size_t size) : array_(cbor_new_definite_array(size)) {}
 
-// The array holds a reference of its own.
+// `cbor_array_push` takes its own reference, so the reference of `item` is released here.
 void CborArrayWriter::push(CborItem item) { (void)cbor_array_push(array_.get(), item.get()); }
 
 void CborArrayWriter::add(std::uint64_t value) { push(CborItem(cbor_build_uint64(value))); }
--- a/src/protocol/cbor_array.hpp
+++ b/src/protocol/cbor_array.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// CBOR arrays: written item by item, and read item by item with their types checked.
+/// Writer and reader for CBOR arrays; the reader checks the type of each item.
 #pragma once
 
 #include <cbor.h>
@@ -12,13 +12,13 @@
 
 namespace poppystile::protocol {
 
-/// Gives back a reference to an item.
+/// Releases one reference to an item.
 struct CborItemDeleter {
   void operator()(cbor_item_t* item) const;
 };
 using CborItem = std::unique_ptr<cbor_item_t, CborItemDeleter>;
 
-/// Builds an array of a size known before.
+/// Builds a CBOR array of fixed size; the caller adds exactly that many items.
 class CborArrayWriter {
  public:
   explicit CborArrayWriter(std::size_t size);
@@ -27,8 +27,10 @@
   void add(double value);
   void add(const std::string& text);
   void add(CborArrayWriter&& array);
-  void add_flag(bool value);  ///< As 1 or 0.
+  /// Adds the number 1 for true, 0 for false.
+  void add_flag(bool value);
 
+  /// The encoded array.
   std::string serialize() const;
 
  private:
@@ -39,14 +41,16 @@
 
 /// Reads the items of an array in their order.
 ///
-/// The first surprise, such as another type or the end of the array, makes the reader fail; from
-/// then on every read gives an empty value. So a caller may read all items and check `ok()` once.
+/// Once an item is missing or has another type than the one read, the reader is in the failed state
+/// for good: every further read returns an empty value. A caller can therefore read all items and
+/// check `ok()` once.
 class CborArrayReader {
  public:
-  /// Fails at once unless `item` is an array of definite size.
+  /// Starts in the failed state unless `item` is an array of definite size.
   explicit CborArrayReader(CborItem item);
 
   bool ok() const { return ok_; }
+  /// Number of items in the array; 0 in the failed state.
   std::size_t size() const;
 
   std::uint64_t read_number();
@@ -56,6 +60,7 @@
   CborArrayReader read_array();
 
  private:
+  /// The next item; nullptr, and the failed state, after the last one.
   CborItem next();
 
   CborItem array_;
@@ -63,11 +68,11 @@
   bool ok_ = false;
 };
 
-/// Decodes a frame that holds one item without any map; nullptr for any other.
+/// Decodes the CBOR item in `frame`; returns nullptr if the frame is malformed or contains a map.
 ///
-/// libcbor sets aside room for as many items as an array's head claims before it reads them, so one
-/// damaged frame could cost gigabytes and many seconds. Frames whose arrays claim more items than
-/// the frame has bytes are refused before that.
+/// libcbor allocates memory for the number of items that an array's head declares before it reads
+/// them, so one damaged frame could cost gigabytes and many seconds. Frames with an array that
+/// declares more items than the frame has bytes are therefore rejected before any allocation.
 CborItem decode_cbor(const std::string& frame);
 
 }  // namespace poppystile::protocol
--- a/src/protocol/cloud_messages.cpp
+++ b/src/protocol/cloud_messages.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-// machines on one page; the cloud's bound.
+// Machines per page of the machine list; the cloud allows no more.
 constexpr int list_page_size = 500;
 
-// Fields of a machine type alone.
+// Fields that only machine types have.
 constexpr const char* type_name_field = "sku";
 constexpr const char* cache_size_field = "local_gb";
 constexpr const char* fetch_rate_field = "fetch_gb_per_s";
@@ -46,7 +46,7 @@
   return out;
 }
 
-/// A state that this version does not know counts as running.
+/// An unknown state, as a newer cloud may send, is treated as running.
 MachineState parse_machine_state(const std::string& word) {
   if (word == "failed") return MachineState::failed;
   if (word == "booting") return MachineState::booting;
--- a/src/protocol/json.hpp
+++ b/src/protocol/json.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Checked access to JSON fields: a wrong or missing field raises DecodeError with its name.
+/// Checked access to JSON fields: a missing or invalid field throws DecodeError with its name.
 #pragma once
 
 #include <cmath>
@@ -16,22 +16,22 @@
 
 using Json = nlohmann::json;
 
-/// A text that is not what its reader expects. `what()` names the field and the problem; users and
-/// operators are shown it.
+/// Thrown for input that cannot be decoded. `what()` names the field and the problem, and is shown
+/// to users and operators.
 class DecodeError : public std::runtime_error {
  public:
-  /// A problem of the text as a whole, or of a record without a single faulty field.
+  /// For a problem that no single field causes.
   explicit DecodeError(const std::string& problem) : std::runtime_error(problem) {}
-  /// "FIELD PROBLEM", such as "rank is unknown".
+  /// Gives the text "FIELD PROBLEM", such as "rank is unknown".
   DecodeError(const std::string& field, const std::string& problem)
       : std::runtime_error(field + " " + problem), field_(field) {}
 
-  /// "FIELD: expected EXPECTATION", such as "cores: expected a number above 0".
+  /// Gives the text "FIELD: expected EXPECTATION", such as "cores: expected a number above 0".
   static DecodeError expected(const std::string& field, const std::string& expectation) {
     return {field + ":", "expected " + expectation, field};
   }
 
-  /// The faulty field; empty when the text as a whole is at fault.
+  /// The name of the invalid field; empty if no single field is invalid.
   const std::string& field() const { return field_; }
 
  private:
@@ -41,7 +41,7 @@
   std::string field_;
 };
 
-/// Parses a JSON object; throws DecodeError for anything else.
+/// Parses `text`; throws DecodeError unless it is a JSON object.
 inline Json parse_object(const std::string& text) {
   Json parsed = Json::parse(text, nullptr, false);
   if (parsed.is_discarded()) throw DecodeError("not JSON");
@@ -62,7 +62,8 @@
   return *found;
 }
 
-// Each `as_...` converts a value, and throws DecodeError with the field's name `name` if it cannot.
+// Each `as_...` function converts a value. It throws DecodeError for the field `name` if the value
+// has another type or is out of range.
 
 inline std::string as_text(const Json& value, const char* name) {
   if (!value.is_string()) throw DecodeError(name, "is not a string");
@@ -74,7 +75,7 @@
   return value.get<bool>();
 }
 
-/// A finite number that is not negative.
+/// Accepts finite numbers from 0 on.
 inline double as_amount(const Json& value, const char* name) {
   if (!value.is_number()) throw DecodeError(name, "is not a number");
   const double amount = value.get<double>();
@@ -82,6 +83,7 @@
   return amount;
 }
 
+/// Accepts integers from 0 on.
 inline std::uint64_t as_count(const Json& value, const char* name) {
   if (!value.is_number_unsigned()) throw DecodeError(name, "is not a count");
   return value.get<std::uint64_t>();
@@ -91,7 +93,8 @@
   return Seconds{as_amount(value, name)};
 }
 
-// Each `need_...` reads a field that must be there, of that type; throws DecodeError otherwise.
+// Each `need_...` function reads a mandatory field. It throws DecodeError if the field is absent,
+// null or not of the type that the function returns.
 
 inline std::string need_text(const Json& object, const char* name) {
   return as_text(need(object, name), name);
@@ -119,7 +122,7 @@
   return list;
 }
 
-/// A list of strings.
+/// Reads a list of strings.
 inline std::vector<std::string> need_texts(const Json& object, const char* name) {
   std::vector<std::string> texts;
   for (const Json& each : need_list(object, name)) texts.push_back(as_text(each, name));
--- a/src/protocol/peer_messages.cpp
+++ b/src/protocol/peer_messages.cpp
@@ -8,10 +8,12 @@
 
 namespace {
 
-// Of the form of a status; other forms are refused.
+// Version of the status format; frames of any other version are rejected.
 constexpr std::uint64_t version = 4;
-// The version, ten values, counts and cancellations.
+// Top-level items of a status: the version, ten single values, the list of job counts and the list
+// of cancelled jobs.
 constexpr std::size_t status_fields = 13;
+// Items for each job in the flat list of job counts.
 constexpr std::size_t fields_per_count = 3;
 
 CborArrayWriter encode_counts(const std::vector<JobCounts>& counts) {
@@ -32,7 +34,7 @@
 
 WallTime read_time(CborArrayReader& reader) { return WallTime{Seconds{reader.read_double()}}; }
 
-/// Whether the array held counts and nothing else.
+/// Appends the job counts to `out`; false if the array contains anything else.
 bool read_counts(CborArrayReader reader, std::vector<JobCounts>& out) {
   if (!reader.ok() || reader.size() % fields_per_count != 0) return false;
   const std::size_t count = reader.size() / fields_per_count;
@@ -46,7 +48,7 @@
   return reader.ok();
 }
 
-/// Whether the array held texts and nothing else.
+/// Appends the ids to `out`; false if the array contains anything but texts.
 bool read_ids(CborArrayReader reader, std::vector<std::string>& out) {
   const std::size_t count = reader.size();
   for (std::size_t i = 0; i < count && reader.ok(); ++i) out.push_back(reader.read_text());
--- a/src/protocol/peer_messages.hpp
+++ b/src/protocol/peer_messages.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The status that controllers send one another, as CBOR.
+/// The status that controllers send one another, encoded as CBOR.
 #pragma once
 
 #include <cstdint>
@@ -11,36 +11,39 @@
 
 namespace poppystile::protocol {
 
-/// How many tasks of a job have finished and how many run.
+/// The numbers of finished and running tasks of one job.
 struct JobCounts {
   std::string job;
   std::uint64_t done = 0;
   std::uint64_t running = 0;
 };
 
-/// What a controller knows, as of `sent_at`.
+/// The state of a controller at the time `sent_at`.
 struct PeerStatus {
   std::string name;
-  std::uint64_t incarnation = 0;  ///< Drawn when the sender's process began.
-  WallTime started_at;            ///< When that was.
-  std::uint64_t token = 0;        ///< The highest fencing token that the sender knows of.
+  std::uint64_t incarnation = 0;  ///< Random number chosen when the sender's process started.
+  WallTime started_at;            ///< Start time of the sender's process.
+  std::uint64_t token = 0;        ///< The highest fencing token that the sender has seen.
   bool is_leader = false;
   WallTime sent_at;
-  WallTime state_contact_at;  ///< When the state service last answered the sender.
-  /// The sender's cache holds whatever was committed before; "never" while it is not loaded.
+  WallTime state_contact_at;  ///< Time of the state service's last response to the sender.
+  /// The sender's cache contains every change that was committed before this time; "never" while
+  /// the cache is not loaded.
   WallTime fresh_as_of_wall;
-  /// Workers' heartbeats that were redirected since the frame before.
+  /// Number of heartbeats that the sender has answered with a redirect since its previous status.
   std::uint64_t redirected_heartbeats = 0;
-  std::vector<JobCounts> counts;  ///< Of a leader only.
-  /// Jobs that the sender knows to be cancelled and not to be final, or as many as fit.
+  std::vector<JobCounts> counts;  ///< Empty unless the sender is the leader.
+  /// Ids of jobs that are cancelled and have no final record yet, as far as the sender has seen; at
+  /// most as many as fit into a frame.
   std::vector<std::string> cancelled;
-  /// Whether `cancelled` is complete. If not, the frame confirms nothing about cancellations.
+  /// Whether `cancelled` is complete. If it is not, a receiver must not conclude from the status
+  /// that the sender has seen a cancellation.
   bool all_cancelled = true;
 };
 
 std::string encode_peer_status(const PeerStatus& status);
 
-/// Nothing when the frame is not a status of this form.
+/// Returns nullopt if the frame is malformed or has another format version.
 std::optional<PeerStatus> decode_peer_status(const std::string& frame);
 
 }  // namespace poppystile::protocol
--- a/src/protocol/properties.cpp
+++ b/src/protocol/properties.cpp
@@ -21,7 +21,7 @@
 
 namespace {
 
-/// The range of a key's value, and where it goes.
+/// The allowed range of a key's value, and the function that stores it.
 struct PropertyRule {
   double min;
   double max;
@@ -40,7 +40,7 @@
   return rules;
 }
 
-/// The Levenshtein distance, for the hint in the error about an unknown key.
+/// The Levenshtein distance of two keys.
 std::size_t edit_distance(const std::string& a, const std::string& b) {
   std::vector<std::size_t> row(b.size() + 1);
   for (std::size_t j = 0; j <= b.size(); ++j) row[j] = j;
@@ -56,6 +56,7 @@
   return row.back();
 }
 
+/// The known key most similar to `key`, as a hint in the error about an unknown key.
 std::string nearest_key(const std::string& key) {
   std::string best;
   std::size_t least = std::numeric_limits<std::size_t>::max();
@@ -68,6 +69,8 @@
   return best;
 }
 
+/// Parses the value of one key and stores it in `out`; throws DecodeError if the key is unknown or
+/// the value is not a number in its range.
 void apply(Properties& out, const std::string& key, const std::string& text) {
   const auto rule = property_rules().find(key);
   if (rule == property_rules().end())
--- a/src/protocol/properties.hpp
+++ b/src/protocol/properties.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Operators' own settings, as Java-style properties.
+/// Tuning parameters that operators can override in a Java-style properties file.
 #pragma once
 
 #include <string>
@@ -8,15 +8,17 @@
 
 namespace poppystile::protocol {
 
-/// What operators may change; unless they do, the values of constants.hpp.
+/// The parameters that operators can override; the defaults are in constants.hpp.
 struct Properties {
-  Seconds idle_keep;           ///< fleet.idle-keep-s
-  double service_reserve;      ///< fleet.service-reserve
-  double remote_offset_units;  ///< planner.remote-offset-units
+  Seconds idle_keep;           ///< Key fleet.idle-keep-s.
+  double service_reserve;      ///< Key fleet.service-reserve.
+  double remote_offset_units;  ///< Key planner.remote-offset-units.
   Properties();
 };
 
-/// Throws DecodeError naming the key and what was expected. An empty path gives the defaults.
+/// Reads the file at `path`, or returns the defaults if `path` is empty. Throws DecodeError if the
+/// file cannot be opened, has an unknown key or has a value outside its range; the text names the
+/// key and the expected value.
 Properties read_properties(const std::string& path);
 
 }  // namespace poppystile::protocol
--- a/src/protocol/resources.cpp
+++ b/src/protocol/resources.cpp
@@ -13,12 +13,14 @@
 
 constexpr double thousandths_per_unit = 1000;
 
+/// Reads an amount in whole CPUs, GPUs or GB; throws DecodeError if it is above `max_amount`.
 std::int64_t need_thousandths(const Json& object, const char* name, double max_amount) {
   const double amount = need_amount(object, name);
   if (amount > max_amount) throw DecodeError(name, "out of range");
   return std::llround(amount * thousandths_per_unit);
 }
 
+/// Converts thousandths to whole CPUs, GPUs or GB.
 double units(std::int64_t thousandths) {
   return static_cast<double>(thousandths) / thousandths_per_unit;
 }
--- a/src/protocol/resources.hpp
+++ b/src/protocol/resources.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Amounts of CPU, GPU and memory, and how messages carry them.
+/// Amounts of CPU, GPU and memory, and their representation in messages.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +9,8 @@
 
 namespace poppystile::protocol {
 
-/// Amounts in whole thousandths of a CPU, a GPU and a GB, so that sums never drift.
+/// Amounts as integers, in thousandths of a CPU, a GPU and a GB, so that sums have no rounding
+/// errors.
 struct Resources {
   std::int64_t cpus = 0;
   std::int64_t gpus = 0;
@@ -28,19 +29,19 @@
     return *this;
   }
 
-  /// Whether every amount is at most that of `room`.
+  /// Whether every amount is at most the corresponding one of `room`.
   bool fits(const Resources& room) const {
     return cpus <= room.cpus && gpus <= room.gpus && memory <= room.memory;
   }
-  /// How many times this fits into `room`, at most `constants::max_tasks`.
+  /// How many times these amounts fit into `room`, from 0 to `constants::max_tasks`.
   std::int64_t times_in(const Resources& room) const;
 };
 
-/// Reads the amounts from a message; throws DecodeError, also for more than `max_amount` of any, in
-/// CPUs, GPUs or GB.
+/// Reads the amounts from a message. Throws DecodeError if one is missing, invalid or above
+/// `max_amount`, which is in whole CPUs, GPUs or GB.
 Resources parse_resources(const Json& object,
                           double max_amount = std::numeric_limits<double>::infinity());
-/// Adds the amounts to a message.
+/// Writes the amounts to the fields of a message.
 void encode_resources(const Resources& resources, Json& object);
 
 }  // namespace poppystile::protocol
--- a/src/protocol/route.cpp
+++ b/src/protocol/route.cpp
@@ -12,7 +12,7 @@
 constexpr std::string_view health_path = "/up";
 constexpr std::string_view heartbeat_path = "/agent/beat";
 
-/// `path` is that of one job, without its prefix.
+/// Parses the path of one job; `path` starts after "/submissions/".
 Route parse_job_route(std::string_view path) {
   const bool cancel = path.ends_with(cancel_suffix);
   if (cancel) path.remove_suffix(cancel_suffix.size());
--- a/src/protocol/route.hpp
+++ b/src/protocol/route.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Which request a path stands for.
+/// Routing of HTTP requests by their path.
 #pragma once
 
 #include <cstdint>
@@ -7,15 +7,16 @@
 
 namespace poppystile::protocol {
 
-/// Where a request goes, by its path alone.
+/// The kind of a request, as its path alone determines it.
 struct Route {
   enum class Kind : std::uint8_t { submit, show, cancel, up, heartbeat, none };
 
   Kind kind = Kind::none;
-  std::string id;  ///< The job of `show` and `cancel`; not checked for its form.
+  std::string id;  ///< Job id of `show` and `cancel`, not validated; otherwise empty.
 };
 
-/// Reads the path of `target`, and ignores its query. Unknown paths give `Route::Kind::none`.
+/// Parses the path of `target` and ignores its query. Returns `Route::Kind::none` for unknown
+/// paths.
 Route parse_route(const std::string& target);
 
 }  // namespace poppystile::protocol
--- a/src/protocol/settings.cpp
+++ b/src/protocol/settings.cpp
@@ -27,7 +27,7 @@
 
 namespace {
 
-// Fields that are read in more than one place, or named in a message.
+// Fields that are used in several places or named in an error message.
 constexpr const char* name_field = "member";
 constexpr const char* zone_field = "site";
 constexpr const char* heartbeat_interval_field = "report_s";
@@ -40,7 +40,8 @@
 constexpr const char* sockets_field = "sockets";
 constexpr const char* objectives_field = "objectives";
 
-// ms; the users' bound on the difference of two controllers' clocks, unless the settings give it.
+// Milliseconds; the bound on the difference between two controllers' clocks if the settings give
+// none.
 constexpr double default_clock_offset_ms = 100;
 
 transport::Endpoint need_endpoint(const Json& object, const char* name) {
@@ -68,7 +69,7 @@
   return found == nullptr ? otherwise : as_amount(*found, name);
 }
 
-// Absent, or a number above 0.
+// The field's number, which must be above 0, or `otherwise` if the field is absent.
 double positive_or(const Json& object, const char* name, double otherwise) {
   return find(object, name) == nullptr ? otherwise : need_positive(object, name);
 }
@@ -78,7 +79,7 @@
           amount_or(each, "gpus", 0), amount_or(each, "gpus_max", 0)};
 }
 
-// Absent in the settings of deployments without gangs.
+// Returns nullopt if a timeout is absent, as in deployments without gangs.
 std::optional<GangTimes> parse_gang_times(const Json& workers) {
   const Seconds assembly{positive_or(workers, "gang_wait_s", 0)};
   const Seconds peer_loss{positive_or(workers, "gang_peer_s", 0)};
@@ -86,7 +87,7 @@
   return GangTimes{assembly, peer_loss};
 }
 
-// A name that is absent has the limit of `otherwise`.
+// A limit that is absent in `given` is taken from `otherwise`.
 StateLimits state_limits_or(const Json& given, const StateLimits& otherwise) {
   StateLimits out;
   out.rps = positive_or(given, rps_field, otherwise.rps);
@@ -96,7 +97,7 @@
   return out;
 }
 
-// `next` holds the limits that the service will have from some unannounced moment on.
+// The section `next` has limits to which the state service will change at an unannounced time.
 StateLimits parse_state_limits(const Json& state) {
   for (const char* name : {rps_field, write_rps_field, value_size_field, max_changes_field})
     need_positive(state, name);
@@ -119,7 +120,7 @@
 
 void parse_machine_limits(const Json& limits, Settings& out) {
   out.sockets = need_positive(limits, sockets_field);
-  // Not used, but checked where they are given.
+  // These fields are optional and not used, but must be valid if present.
   for (const char* name : {"core_share", "ram_mb"})
     if (find(limits, name) != nullptr) need_positive(limits, name);
 }
@@ -132,9 +133,10 @@
   out.max_clock_offset = Seconds{amount_or(given, "time_bound_ms", default_clock_offset_ms) / 1000};
 }
 
-// Rejects values that are valid alone and cannot work together.
+// Throws DecodeError for values that are valid alone but contradict one another.
 void check_consistency(const Settings& out) {
-  // A leader that is cut off must stop responding early enough for leases to expire by then.
+  // A leader that cannot reach the state service must stop responding to workers early enough that
+  // their leases expire before the cancel timeout ends.
   if (out.worker_lease >= out.cancel_timeout)
     throw DecodeError::expected(
         lease_field, "less than cancel_s, got " + std::to_string(out.worker_lease.count()));
@@ -142,7 +144,7 @@
     throw DecodeError::expected(
         heartbeat_interval_field,
         "less than lease_s, got " + std::to_string(out.heartbeat_interval.count()));
-  // A final record takes two changes, since it replaces the job's record.
+  // Writing a job's final record takes two changes, since it also deletes the job's record.
   if (out.state_limits.txn_ops < constants::min_txn_ops)
     throw DecodeError::expected(max_changes_field,
                                 "at least " + std::to_string(constants::min_txn_ops));
@@ -153,7 +155,7 @@
                            " for the calls to other services, the siblings and one worker");
 }
 
-// The list is optional, and aims of other kinds are not used.
+// The list is optional; objectives of other kinds are ignored.
 void parse_objectives(const Json& given, Settings& out) {
   if (find(given, objectives_field) == nullptr) return;
   for (const Json& each : need_list(given, objectives_field)) {
--- a/src/protocol/settings.hpp
+++ b/src/protocol/settings.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The settings file that the platform hands over (DEPLOY), checked.
+/// The settings file that the platform provides at deployment (see DEPLOY), parsed and validated.
 #pragma once
 
 #include <optional>
@@ -19,7 +19,8 @@
   transport::Endpoint address;
 };
 
-/// What a team is given, and its limits; 0 for none.
+/// A team's guaranteed amounts (`cpus`, `gpus`) and its limits (`cpus_max`, `gpus_max`), in CPUs
+/// and GPUs; 0 stands for no guarantee or no limit.
 struct TeamSettings {
   std::string name;
   double cpus = 0;
@@ -28,22 +29,23 @@
   double gpus_max = 0;
 };
 
-/// A users' aim: jobs of the class finish within this time.
+/// An objective that users set: jobs of the class finish within this time.
 struct FinishAim {
   std::string job_class;
   Seconds within{0};
 };
 
-/// How long workers wait for the other tasks of a gang.
+/// The timeouts that workers apply to the tasks of a gang.
 struct GangTimes {
-  Seconds assembly_timeout{0};     ///< For the gang to be complete.
-  Seconds peer_loss_detection{0};  ///< Until the loss of another task is noticed.
+  Seconds assembly_timeout{0};     ///< Longest wait until all tasks of the gang are present.
+  Seconds peer_loss_detection{0};  ///< Time until the loss of another task is detected.
 
-  /// How long after the placement of an attempt that is still assembling a lost task is replaced.
+  /// How long after its placement an attempt whose tasks are not all present yet still gets a
+  /// replacement for a lost task.
   Seconds task_replacement_window() const;
 };
 
-/// The settings of one controller; the defaults are those of tests.
+/// The settings of one controller; the defaults serve tests only.
 struct Settings {
   std::string name;
   std::string zone;
@@ -58,17 +60,18 @@
   Seconds heartbeat_interval{1};
   Seconds worker_lease{10};
   Seconds cancel_timeout{30};
-  std::optional<GangTimes> gang_times;  ///< Nothing: no gang can be run.
-  StateLimits state_limits;             ///< The lower of the present and the announced ones.
+  std::optional<GangTimes> gang_times;  ///< nullopt: gangs are not supported.
+  StateLimits state_limits;             ///< The lower of the current and the announced limits.
   double cloud_rps = 1;
   Seconds list_lag{5};
   double sockets = 256;
   Seconds max_clock_offset{0.1};
 };
 
-/// Throws DecodeError naming the field and what was expected.
+/// Parses and validates the JSON text of a settings file. Throws DecodeError that names the field
+/// and the expected value.
 Settings parse_settings(const std::string& text);
-/// Reads IPv4:PORT; throws DecodeError naming the field `name`.
+/// Parses "IPv4:PORT"; throws DecodeError for the field `name` if `text` has another form.
 transport::Endpoint parse_endpoint(const std::string& text, const char* name);
 
 }  // namespace poppystile::protocol
--- a/src/protocol/state_messages.cpp
+++ b/src/protocol/state_messages.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-// Fields of a single message.
+// Fields that only one message has.
 constexpr const char* failed_keys_field = "failed";
 constexpr const char* lease_ttl_field = "ttl_ms";
 
-// The state service's text for a lease that it does not know.
+// Text of the state service's error response about an unknown lease.
 constexpr const char* unknown_lease_text = "no such lease";
 
 std::string field_prefix(const char* name) {
@@ -24,7 +24,7 @@
   return Json{{wire::key, condition.key}, {wire::version, condition.version}}.dump();
 }
 
-// Values are JSON text already, so the change is put together around them.
+// Values are JSON text already, so the change is concatenated instead of built as a Json object.
 std::string encode_change(const Change& change) {
   if (!change.value) return Json{{wire::remove, change.key}}.dump();
   std::string out = "{";
--- a/src/protocol/submission.cpp
+++ b/src/protocol/submission.cpp
@@ -13,10 +13,10 @@
 
 constexpr std::string_view id_prefix = "req-";
 
-// CPUs, GPUs or GB; keeps sums over all tasks of a job far below the largest integer.
+// CPUs, GPUs or GB; keeps the sum over all tasks of a job far below the largest 64-bit integer.
 constexpr double max_task_amount = 1e9;
 
-// Fields of a submission alone.
+// Fields that only submissions have.
 constexpr const char* job_class_field = "lane";
 constexpr const char* team_field = "crew";
 constexpr const char* priority_field = "rank";
@@ -29,10 +29,11 @@
 constexpr const char* checkpoint_save_time_field = "mark_cost_s";
 constexpr const char* deadline_field = "due_s";
 
-// In the order of the enumerators.
+// Wire values in the order of the enumerators.
 constexpr std::array<const char*, 3> kind_words = {"sweep", "standing", "gang"};
 constexpr std::array<const char*, 4> priority_words = {"idle", "normal", "high", "production"};
 
+/// Reads an enumerator by its wire value; `words` lists the wire values in the order of `Enum`.
 template <typename Enum, std::size_t count>
 Enum need_enum(const Json& body, const char* name, const std::array<const char*, count>& words) {
   const std::string word = need_text(body, name);
@@ -41,6 +42,7 @@
   return static_cast<Enum>(found - words.begin());
 }
 
+/// Reads a text of 1 to `constants::max_name_bytes` bytes.
 std::string need_name(const Json& body, const char* name) {
   std::string text = need_text(body, name);
   if (text.empty() || text.size() > constants::max_name_bytes)
@@ -60,6 +62,7 @@
   return static_cast<std::uint32_t>(tasks);
 }
 
+/// Reads the resources of one task, which must include some CPU.
 Resources need_task_resources(const Json& body) {
   const Resources each = parse_resources(body, max_task_amount);
   if (each.cpus <= 0) throw DecodeError(wire::cpus, "out of range");
--- a/src/protocol/submission.hpp
+++ b/src/protocol/submission.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Jobs as users submit them; job records in the state service have the same form.
+/// Jobs as users submit them; job records in the state service have the same format.
 #pragma once
 
 #include <cstdint>
@@ -13,11 +13,12 @@
 
 namespace poppystile::protocol {
 
-/// A gang is an array whose tasks run at the same time or not at all.
+/// The tasks of an array run independently, those of a gang all at the same time or not at all. The
+/// tasks of a service are replicas.
 enum class JobKind : std::uint8_t { array, service, gang };
 enum class Priority : std::uint8_t { low, normal, high, production };
 
-/// What a user asks to be run.
+/// The description of a job in a submission.
 struct JobSpec {
   std::string id;
   std::string job_class;
@@ -25,26 +26,27 @@
   JobKind kind = JobKind::array;
   Priority priority = Priority::normal;
   std::uint32_t tasks = 0;
-  Resources each;                                 ///< Of one task.
-  std::optional<std::vector<std::string>> types;  ///< Allowed machine types; nothing: all.
-  std::optional<std::string> zone;                ///< The only allowed zone; nothing: all.
-  bool one_zone = false;                          ///< All tasks in the same zone.
-  bool spread = false;                            ///< Tasks on different machines.
-  bool spot = false;                              ///< May run on spot machines.
+  Resources each;                                 ///< Resources of one task.
+  std::optional<std::vector<std::string>> types;  ///< Allowed machine types; nullopt: all.
+  std::optional<std::string> zone;                ///< The only allowed zone; nullopt: all.
+  bool one_zone = false;                          ///< All tasks must run in the same zone.
+  bool spread = false;                            ///< Tasks must run on different machines.
+  bool spot = false;                              ///< Tasks may run on spot machines.
   std::string image;
   double image_gb = 0;
   Seconds estimated_run_time{0};
   Seconds checkpoint_interval{0};
   Seconds checkpoint_save_time{0};
-  std::optional<Seconds> deadline;  ///< After submission.
+  std::optional<Seconds> deadline;  ///< Time after the submission.
 };
 
-/// Whether the id has the form that users give their jobs.
+/// Whether the id has the form of a job id: "req-" and decimal digits, at most
+/// `constants::max_id_bytes` bytes in all.
 bool valid_job_id(const std::string& id);
 
-/// Throws DecodeError with the first field that is missing or invalid.
+/// Throws DecodeError for the first field that is missing or invalid.
 JobSpec parse_submission(const Json& body);
-/// The inverse of `parse_submission`; fields without a value are left out.
+/// The inverse of `parse_submission`; omits optional fields without a value.
 Json encode_submission(const JobSpec& job);
 
 }  // namespace poppystile::protocol
--- a/src/protocol/user_responses.hpp
+++ b/src/protocol/user_responses.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What users are told about their jobs, and the body of every error response.
+/// Bodies of the responses to users: job states and errors.
 #pragma once
 
 #include <cstdint>
@@ -9,15 +9,15 @@
 
 enum class JobState : std::uint8_t { queued, running, done, cancelled };
 
-/// The word that users are given for the state.
+/// The wire value of the state.
 const char* to_string(JobState state);
 
-/// The response to a submission or a cancellation.
+/// The body of the response to a submission or a cancellation.
 std::string encode_submitted(const std::string& id, JobState state);
-/// The response to a poll; `done` and `running` count tasks.
+/// The body of the response to a status request; `done` and `running` are numbers of tasks.
 std::string encode_job_status(const std::string& id, JobState state, std::uint64_t done,
                               std::uint64_t running);
-/// The body of a response that is an error.
+/// The body of an error response.
 std::string encode_error(const std::string& reason);
 
 }  // namespace poppystile::protocol
--- a/src/protocol/wire_names.hpp
+++ b/src/protocol/wire_names.hpp
@@ -1,8 +1,8 @@
 /// \file
-/// The field names that several messages share, as they stand on the wire and in stored records.
+/// Field names that several messages or stored records share.
 ///
-/// A field of one message alone is named in that message's codec. Names that read the same on the
-/// wire and in the code (`id`, `gpus`) are listed where more than one codec uses them.
+/// The name of a field that only one message has is defined in that message's codec. Names that are
+/// the same on the wire and in the code (`id`, `gpus`) are listed here if several codecs use them.
 #pragma once
 
 namespace poppystile::protocol::wire {
@@ -41,7 +41,7 @@
 inline constexpr const char* write = "write";
 inline constexpr const char* remove = "remove";
 
-// Pages of a list.
+// Lists in pages.
 inline constexpr const char* more = "more";
 
 }  // namespace poppystile::protocol::wire
--- a/src/protocol/worker_messages.cpp
+++ b/src/protocol/worker_messages.cpp
@@ -12,10 +12,11 @@
 
 namespace {
 
-// bytes; leaves the other half of a name in a journal entry for what stands beside the machine.
+// Half of the bytes allowed for a name, since journal entries store other values in addition to the
+// machine's name.
 constexpr std::size_t max_machine_name_bytes = constants::max_name_bytes / 2;
 
-// Fields of a heartbeat alone.
+// Fields that only heartbeats have.
 constexpr const char* address_field = "addr";
 constexpr const char* incarnation_field = "shift";
 constexpr const char* sequence_field = "tick";
@@ -23,13 +24,14 @@
 constexpr const char* cause_field = "cause";
 constexpr const char* saved_field = "stored";
 
-// Fields of commands and redirects alone.
+// Fields that only commands and redirects have.
 constexpr const char* commands_field = "orders";
 constexpr const char* operation_field = "verb";
 constexpr const char* grace_field = "wind_down_s";
 constexpr const char* leader_field = "foreman";
 
-/// The value of `word`, or `otherwise` for a word that this version does not know.
+/// The enumerator for the wire value `word`, or `otherwise` for a value that this version does not
+/// support.
 template <typename Enum>
 Enum value_or(const std::map<std::string, Enum>& words, const std::string& word, Enum otherwise) {
   const auto found = words.find(word);
@@ -42,7 +44,7 @@
                                                          {"running", TaskState::running},
                                                          {"saving", TaskState::saving},
                                                          {"exited", TaskState::exited}};
-  // A task in an unknown state still occupies its machine.
+  // A task in a state that this version does not support still occupies its machine.
   return value_or(words, word, TaskState::running);
 }
 
--- a/src/transport/event_loop.cpp
+++ b/src/transport/event_loop.cpp
@@ -16,7 +16,7 @@
 constexpr double seconds_per_nanosecond = 1e-9;
 constexpr double milliseconds_per_second = 1000.0;
 
-/// Owns itself until it has fired.
+/// A timer that runs its action once. Owns itself through `self` until it has fired.
 struct OneShotTimer {
   uv_timer_t handle{};
   bool closing = false;
@@ -31,7 +31,7 @@
   action();
 }
 
-/// Rounded up: a timer never fires early.
+/// Rounds up, so that a timer never fires early.
 std::uint64_t to_milliseconds(Seconds delay) {
   return static_cast<std::uint64_t>(
       std::ceil(std::max(0.0, delay.count()) * milliseconds_per_second));
--- a/src/transport/event_loop.hpp
+++ b/src/transport/event_loop.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// The libuv loop behind a small interface, so that tests run in simulated time.
+/// Clocks and timers behind an interface, so that tests run in simulated time; the libuv event
+/// loop.
 #pragma once
 
 #include <uv.h>
@@ -10,20 +11,20 @@
 
 namespace poppystile::transport {
 
-/// Time and timers. Implemented by the libuv loop and by the tests' simulation.
+/// Clocks and timers. Implemented by `EventLoop` and by the tests' simulation.
 class Runtime {
  public:
   virtual ~Runtime() = default;
   virtual SteadyTime now() const = 0;
   virtual WallTime wall_now() const = 0;
-  /// Runs `action` once, no sooner than `delay` from now and never within this call.
+  /// Schedules `action` to run once, at least `delay` from now and never within this call.
   virtual void after(Seconds delay, std::function<void()> action) = 0;
 };
 
-/// The loop that runs all of a controller in one thread.
+/// The libuv event loop, in whose single thread the whole controller runs.
 class EventLoop final : public Runtime {
  public:
-  /// Throws std::runtime_error when the system gives no loop.
+  /// Throws std::runtime_error if libuv cannot initialize the loop.
   EventLoop();
   ~EventLoop() override;
   EventLoop(const EventLoop&) = delete;
@@ -33,8 +34,9 @@
   WallTime wall_now() const override;
   void after(Seconds delay, std::function<void()> action) override;
 
-  /// Runs until no handle is left.
+  /// Runs until no libuv handle is active.
   void run();
+  /// The libuv loop, for the creation of handles.
   uv_loop_t* raw() { return &loop_; }
 
  private:
--- a/src/transport/http.hpp
+++ b/src/transport/http.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Plain HTTP messages and the interfaces the upper layers see.
+/// HTTP messages and the client interface that the upper layers use.
 #pragma once
 
 #include <chrono>
@@ -25,24 +25,25 @@
 
 struct HttpRequest {
   std::string method;
-  std::string target;  ///< Path and query.
+  std::string target;  ///< The path and the query.
   std::string body;
 };
 
 struct HttpResponse {
-  int status = 0;  ///< 0: no response, the outcome is unknown.
+  int status = 0;  ///< 0: no response; whether the request was executed is unknown.
   std::string body;
-  std::chrono::seconds retry_after{0};  ///< Sent as Retry-After when positive.
+  std::chrono::seconds retry_after{0};  ///< Sent as Retry-After if above 0.
 };
 
-/// Sends the response to a request; to be called once.
+/// Sends the response to a request; must be called exactly once.
 using Respond = std::function<void(HttpResponse)>;
 
-/// Calls to other services.
+/// Sends HTTP requests to other services.
 class HttpCaller {
  public:
   virtual ~HttpCaller() = default;
-  /// Sends a request. `done` runs exactly once; status 0 says that no response came in time.
+  /// Sends a request. `done` runs exactly once: with the response, or with status 0 if there is
+  /// none within `timeout`.
   virtual void call(const Endpoint& to, HttpRequest request, Seconds timeout,
                     std::function<void(HttpResponse)> done) = 0;
 };
--- a/src/transport/http_client.cpp
+++ b/src/transport/http_client.cpp
@@ -28,13 +28,15 @@
 
 }  // namespace
 
-/// One call. The deadline timer and the connection both hold it; whichever is first settles it.
+/// One call, shared by its timeout timer and its connection. The first of them to finish settles
+/// it.
 struct HttpClient::Exchange {
   HttpRequest request;
   std::function<void(HttpResponse)> done;
   bool settled = false;
   Connection* connection = nullptr;
 
+  /// Runs `done` with the response; does nothing if the exchange is already settled.
   void settle(HttpResponse response) {
     if (std::exchange(settled, true)) return;
     auto callback = std::move(done);
@@ -49,7 +51,7 @@
   std::vector<std::shared_ptr<Connection>> open;
 };
 
-/// One connection, which carries one call at a time. The callbacks of its stream hold it alive.
+/// One connection, which carries one call at a time. The callbacks of its stream keep it alive.
 class HttpClient::Connection : public std::enable_shared_from_this<Connection> {
  public:
   Connection(HttpClient& client, Pool& pool) : client_(client), pool_(pool), stream_(client.loop_) {
@@ -68,15 +70,17 @@
     if (!started) close();
   }
 
+  /// Sends the request now, or as soon as the connection is established.
   void send(std::shared_ptr<Exchange> exchange) {
     current_ = std::move(exchange);
     current_->connection = this;
     if (connected_) write_request();
   }
 
+  /// Closes the connection; a call without a response is settled with status 0.
   void close() {
     if (std::exchange(closing_, true)) return;
-    const auto self = shared_from_this();  // the pool may hold the last other reference
+    const auto self = shared_from_this();  // the pool may hold the only other reference
     stream_.close();
     auto unanswered = std::exchange(current_, nullptr);
     client_.on_closed(pool_, this);
@@ -108,7 +112,7 @@
     if (parsed != data.size() || body_.size() > constants::max_response_body_bytes) close();
   }
 
-  /// A body without a length ends with the connection.
+  /// The end of the connection also ends a response body without Content-Length.
   void on_end() {
     http_parser_execute(&parser_, &parser_settings(), nullptr, 0);
     close();
@@ -174,7 +178,7 @@
     return loop_.after(Seconds{0}, [exchange] { exchange->settle({}); });
   loop_.after(timeout, [exchange] {
     if (exchange->settled) return;
-    // The connection may be cut without an error: never reuse it.
+    // The connection may be broken without an error having been reported, so it is not reused.
     if (exchange->connection != nullptr) return exchange->connection->close();
     exchange->settle({});
   });
--- a/src/transport/http_client.hpp
+++ b/src/transport/http_client.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// HTTP/1.1 client over libuv: keep-alive connections per remote address, bounded in number.
+/// HTTP/1.1 client over libuv, with a limited number of keep-alive connections per remote address.
 #pragma once
 
 #include <functional>
@@ -12,8 +12,8 @@
 
 namespace poppystile::transport {
 
-/// Calls over pooled connections. A call beyond `constants::client_backlog` waiting ones to the
-/// same address fails without being sent.
+/// Sends requests over pooled connections. While `constants::client_backlog` calls to an address
+/// already wait for a connection, a further one fails with status 0 and is not sent.
 class HttpClient final : public HttpCaller {
  public:
   explicit HttpClient(EventLoop& loop);
@@ -26,11 +26,14 @@
   class Connection;
   struct Pool;
 
+  /// The pool of an address; created on its first use.
   Pool& pool_of(const Endpoint& to);
-  /// Hands waiting calls to idle connections, and opens new ones up to the limit.
+  /// Assigns waiting calls to idle connections, and opens new ones up to
+  /// `constants::client_connections`.
   void pump(Pool& pool);
   /// An idle connection, or a new one; nullptr when the limit is reached.
   std::shared_ptr<Connection> free_connection(Pool& pool);
+  /// Removes the connection from its pool and assigns the calls that still wait.
   void on_closed(Pool& pool, const Connection* connection);
 
   EventLoop& loop_;
--- a/src/transport/http_server.cpp
+++ b/src/transport/http_server.cpp
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-/// One connection. The callbacks of its stream hold it alive until libuv has closed it.
+/// One connection. The callbacks of its stream keep it alive until libuv has closed it.
 class HttpServer::Connection : public std::enable_shared_from_this<Connection> {
  public:
   explicit Connection(HttpServer& server)
@@ -45,7 +45,7 @@
   Connection(const Connection&) = delete;
   Connection& operator=(const Connection&) = delete;
 
-  /// Accepts the connection that waits; false if it failed.
+  /// Accepts the next pending connection and starts to read; false if accepting failed.
   bool open() {
     if (!stream_.accept(server_.listener_)) {
       close();
@@ -111,7 +111,8 @@
     if (!sent) close();
   }
 
-  /// An oversized body is read to its end, so that the sender sees the response, but not kept.
+  /// A body over the limit is read to its end, so that the sender receives the error response, but
+  /// its excess is not stored.
   void append_body(const char* data, std::size_t length) {
     if (body_.size() + length > constants::max_request_body_bytes) {
       body_too_large_ = true;
@@ -153,8 +154,8 @@
   std::optional<std::list<Connection*>::iterator> ordinary_position_;
 };
 
-// After the loss of all its peers a controller may be called by everybody within a second, so the
-// backlog is as large as the budget.
+// When all other controllers fail, all workers and users may connect to the remaining one within a
+// second, so the listen backlog is as large as the connection limit.
 HttpServer::HttpServer(EventLoop& loop, const Endpoint& listen, std::size_t max_connections,
                        std::function<bool(const HttpRequest&)> is_vital, HttpHandler handler)
     : loop_(loop),
@@ -168,9 +169,9 @@
 
 void HttpServer::accept() {
   const auto connection = std::make_shared<Connection>(*this);
-  // Over the budget a connection is accepted and closed: left in the queue it would hang its peer.
-  // The newest may be a worker's, whose lease depends on it, so it is closed only if there is no
-  // other.
+  // Over the limit, every connection is still accepted, and one is closed: a connection that stayed
+  // in the backlog would leave its client waiting. The newest connection may be that of a worker
+  // whose lease depends on it, so it is closed only if no other can be.
   const bool within_budget = open_connections_ <= max_connections_;
   if (!connection->open() || within_budget) return;
   spdlog::debug("connection shed open={} max={}", open_connections_, max_connections_);
--- a/src/transport/http_server.hpp
+++ b/src/transport/http_server.hpp
@@ -12,18 +12,19 @@
 
 namespace poppystile::transport {
 
-/// Handles a request, and responds at once or later. Responses to a connection that has closed
-/// since are dropped.
+/// Handles a request; calls the `Respond` at once or later. A response is dropped if the connection
+/// has closed in the meantime.
 using HttpHandler = std::function<void(const HttpRequest&, Respond)>;
 
-/// Accepts connections up to a budget.
+/// Serves HTTP on a limited number of connections.
 ///
-/// Over the budget those are closed first that have carried no vital request, the longest silent of
-/// them before the others. A body over `constants::max_request_body_bytes` gets 400.
+/// Over the limit, the server closes the connection with the oldest last request, among those that
+/// have carried no vital request. A request with a body over `constants::max_request_body_bytes`
+/// gets status 400.
 class HttpServer {
  public:
-  /// Listens at once; throws std::runtime_error when it cannot. `is_vital` tells which requests
-  /// protect their connection.
+  /// Starts to listen; throws std::runtime_error if that fails. A connection that has carried a
+  /// request for which `is_vital` returns true is never closed in favour of another.
   HttpServer(EventLoop& loop, const Endpoint& listen, std::size_t max_connections,
              std::function<bool(const HttpRequest&)> is_vital, HttpHandler handler);
   ~HttpServer();
@@ -32,6 +33,7 @@
 
  private:
   class Connection;
+  /// Accepts a connection, and closes one if there are more than `max_connections_`.
   void accept();
 
   EventLoop& loop_;
@@ -39,7 +41,8 @@
   HttpHandler handler_;
   std::size_t max_connections_;
   std::size_t open_connections_ = 0;
-  std::list<Connection*> ordinary_;  // open, without a vital request; the longest silent first
+  // Open connections that have carried no vital request, least recently used first.
+  std::list<Connection*> ordinary_;
   TcpListener listener_;
 };
 
--- a/src/transport/peer_connections.cpp
+++ b/src/transport/peer_connections.cpp
@@ -13,15 +13,17 @@
 
 namespace {
 
-// Frames follow their length, in bytes, most significant byte first.
+// Each frame is preceded by its length in bytes, encoded in this many bytes, most significant
+// first.
 constexpr std::size_t length_bytes = 4;
 constexpr int bits_per_byte = 8;
 
 constexpr int listen_backlog = 16;
 constexpr std::size_t incoming_buffer_bytes = 4096;
-// Nothing is expected back from a peer.
+// Peers send nothing on these connections; reading only detects their end.
 constexpr std::size_t outgoing_buffer_bytes = 64;
-// Frames that may wait to be sent, and bytes beyond them, before a connection counts as cut.
+// A connection whose send queue exceeds this number of frames plus this number of bytes counts as
+// broken.
 constexpr std::size_t max_queued_frames = 4;
 constexpr std::size_t queue_allowance_bytes = 4096;
 
@@ -42,15 +44,16 @@
 
 }  // namespace
 
-/// The connection to one peer, made when there is a frame to send.
+/// The connection to one peer, established when there is a frame to send.
 class PeerConnections::Outgoing {
  public:
   Outgoing(EventLoop& loop, Endpoint to) : loop_(loop), to_(std::move(to)) {}
 
+  /// Sends the frame if the connection is established; otherwise drops it and connects.
   void send(const std::string& frame) {
     if (!stream_) return connect();
     if (!connected_) return give_up_if_stuck();
-    // A cut connection swallows writes without an error; a queue that grows is the only sign.
+    // Writes to a broken connection report no error; only the growing send queue reveals it.
     if (stream_->write_queue_size() > max_queued_frames * frame.size() + queue_allowance_bytes)
       return disconnect();
     if (!stream_->write(with_length(frame))) disconnect();
@@ -67,11 +70,12 @@
   void on_connected(bool connected) {
     if (!connected) return disconnect();
     connected_ = true;
-    // Reading tells when the other side has gone.
+    // Reading detects that the peer has closed the connection.
     stream_->start_reading(
         outgoing_buffer_bytes, [](std::string_view) {}, [this] { disconnect(); });
   }
 
+  /// Abandons a connection attempt that takes longer than `max_peer_status_age`.
   void give_up_if_stuck() {
     if (loop_.now() - connecting_since_ > constants::max_peer_status_age) disconnect();
   }
@@ -85,7 +89,7 @@
   SteadyTime connecting_since_;
 };
 
-/// A connection from a peer. The callbacks of its stream hold it alive until libuv has closed it.
+/// A connection from a peer. The callbacks of its stream keep it alive until libuv has closed it.
 class PeerConnections::Incoming : public std::enable_shared_from_this<Incoming> {
  public:
   explicit Incoming(PeerConnections& connections)
@@ -96,7 +100,7 @@
   Incoming(const Incoming&) = delete;
   Incoming& operator=(const Incoming&) = delete;
 
-  /// Accepts the connection that waits, and closes it if there are too many.
+  /// Accepts the next pending connection; closes it if there are more than `max_peer_connections`.
   void open() {
     const bool accepted = stream_.accept(connections_.listener_);
     if (!accepted || connections_.incoming_connections_ > constants::max_peer_connections)
--- a/src/transport/peer_connections.hpp
+++ b/src/transport/peer_connections.hpp
@@ -13,26 +13,27 @@
 
 namespace poppystile::transport {
 
-/// Sends frames to all peers and receives theirs. Frames may be lost.
+/// Exchanges frames with all peers. Frames may be lost.
 class PeerTransport {
  public:
   virtual ~PeerTransport() = default;
+  /// Sends the frame to all peers.
   virtual void broadcast(const std::string& frame) = 0;
-  /// Sets what runs for each frame received; frames received before are dropped.
+  /// Sets the handler for received frames. Frames that arrive before the first call are dropped.
   virtual void on_frame(std::function<void(const std::string&)> handler) = 0;
 };
 
-/// Peers over TCP: each controller connects to every other and sends its own frames there; on the
-/// connections that others have opened to it, it only reads.
+/// Peer transport over TCP. Each controller opens a connection to every peer and only sends on it;
+/// it only reads from the connections that peers have opened to it.
 class PeerConnections final : public PeerTransport {
  public:
-  /// Listens at once; throws std::runtime_error when it cannot.
+  /// Starts to listen; throws std::runtime_error if that fails.
   PeerConnections(EventLoop& loop, const Endpoint& listen, const std::vector<Endpoint>& peers);
   ~PeerConnections() override;
   PeerConnections(const PeerConnections&) = delete;
   PeerConnections& operator=(const PeerConnections&) = delete;
 
-  /// Drops the frame for peers to which there is no connection, and connects to them.
+  /// For a peer without an established connection, drops the frame and starts to connect.
   void broadcast(const std::string& frame) override;
   void on_frame(std::function<void(const std::string&)> handler) override;
 
--- a/src/transport/tcp_stream.cpp
+++ b/src/transport/tcp_stream.cpp
@@ -35,7 +35,7 @@
                              uv_strerror(error));
 }
 
-/// One write on its way. Owns itself until libuv is done with it.
+/// One pending write. Owns itself until libuv has completed it.
 struct TcpStream::WriteRequest {
   uv_write_t request{};
   std::string data;
--- a/src/transport/tcp_stream.hpp
+++ b/src/transport/tcp_stream.hpp
@@ -16,8 +16,8 @@
 /// A listening socket.
 class TcpListener {
  public:
-  /// Listens at once; throws std::runtime_error, with `purpose` in its text, when it cannot.
-  /// `on_connection` runs for each connection that waits to be accepted.
+  /// Starts to listen; throws std::runtime_error, with `purpose` in its text, if that fails.
+  /// `on_connection` runs for each pending connection and is to accept it.
   TcpListener(EventLoop& loop, const Endpoint& listen, int backlog, const std::string& purpose,
               std::function<void()> on_connection);
 
@@ -34,27 +34,29 @@
 
 /// One TCP connection.
 ///
-/// No callback runs after `close()` or the destruction. Callbacks are freed some turns of the loop
-/// later, so they may hold their owner alive, and an owner may close the stream from within one.
+/// No callback runs after `close()` or the destruction. Callbacks are freed in a later iteration of
+/// the loop, so they may own the object that owns the stream, and may close the stream themselves.
 class TcpStream {
  public:
   explicit TcpStream(EventLoop& loop);
 
-  /// Takes the next connection that waits at the listener; false if there is none.
+  /// Accepts the listener's next pending connection; false if that fails.
   bool accept(TcpListener& listener);
-  /// Connects; `on_connected` is told whether it worked. False if it fails at once.
+  /// Starts to connect; `on_connected` receives whether that succeeded. Returns false if connecting
+  /// fails at once; then no callback runs.
   bool connect(const Endpoint& to, std::function<void(bool connected)> on_connected);
-  /// Sends small writes without delay.
+  /// Disables Nagle's algorithm, so that small writes are sent without delay.
   void set_nodelay();
-  /// Passes on what arrives, in pieces of at most `buffer_bytes`. `on_end` runs when the other side
-  /// has closed the connection or it has failed.
+  /// Passes received data to `on_data`, in pieces of at most `buffer_bytes`. `on_end` runs when the
+  /// other side has closed the connection or the connection has failed.
   void start_reading(std::size_t buffer_bytes, std::function<void(std::string_view)> on_data,
                      std::function<void()> on_end);
-  /// Sends `data`; `on_written` is told whether it worked. False if it fails at once.
+  /// Starts to send `data`; `on_written` receives whether that succeeded. Returns false if writing
+  /// fails at once; then no callback runs.
   bool write(std::string data, std::function<void(bool written)> on_written = {});
-  /// Bytes that wait to be sent.
+  /// Number of bytes queued and not sent yet.
   std::size_t write_queue_size() const;
-  /// Ends the connection; nothing else may be called afterwards.
+  /// Closes the connection; no other member may be called afterwards.
   void close() { block_.reset(); }
 
  private:
--- a/src/transport/timer.hpp
+++ b/src/transport/timer.hpp
@@ -10,13 +10,15 @@
 
 namespace poppystile::transport {
 
-/// Runs an action after a time without a restart; never after its destruction or `close()`.
+/// Runs an action once the delay of the last restart has elapsed; never after its destruction or
+/// `close()`.
 class Timer {
  public:
   Timer(EventLoop& loop, std::function<void()> action);
 
-  /// Starts the timer, or starts it again from the beginning.
+  /// Starts the timer; a timer that is running starts again with this delay.
   void restart(std::chrono::milliseconds delay);
+  /// Stops the timer for good; no other member may be called afterwards.
   void close() { block_.reset(); }
 
  private:
--- a/src/transport/uv_handle.hpp
+++ b/src/transport/uv_handle.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Ownership of libuv handles, which libuv uses until it has closed them.
+/// Ownership of libuv handles, which must stay allocated until libuv has closed them.
 #pragma once
 
 #include <uv.h>
@@ -8,10 +8,11 @@
 
 namespace poppystile::transport {
 
-/// Closes the handle of a block, and frees the block once libuv has let go of it.
+/// Closes the handle of a block, and frees the block when libuv reports the handle as closed.
 ///
-/// A block has a member `handle`, initialized and with `handle.data` pointing to the block, and a
-/// flag `closing`, which callbacks must check: libuv still runs some of them after the close.
+/// A block must have an initialized member `handle`, whose `handle.data` points to the block, and a
+/// flag `closing`. Callbacks must check that flag, since libuv still runs some of them after
+/// `uv_close`.
 struct UvCloser {
   template <typename Block>
   void operator()(Block* block) const {
@@ -22,7 +23,7 @@
   }
 };
 
-/// Owns a block with a libuv handle.
+/// Owning pointer to a block with a libuv handle.
 template <typename Block>
 using UvHandle = std::unique_ptr<Block, UvCloser>;
 
--- a/tests/settings_check.sh
+++ b/tests/settings_check.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Bad settings and properties end the program with status 2 and one line; good ones with 0.
+# Checks that --check exits with status 2 and one line of output for invalid settings or properties, and
+# with status 0 for valid ones.
 set -u
 program=$1
 dir=$(mktemp -d)
--- a/tests/unit/cbor_array_test.cpp
+++ b/tests/unit/cbor_array_test.cpp
@@ -1,6 +1,5 @@
 /// \file
-/// CBOR arrays: what is written is read again, and any surprise makes the
-/// reader fail for good.
+/// Writing and reading of CBOR arrays, and the reader's failed state after an unexpected item.
 #include "protocol/cbor_array.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/unit/cloud_messages_test.cpp
+++ b/tests/unit/cloud_messages_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The catalog of machine types.
+/// Decoding and encoding of the catalog of machine types.
 #include "protocol/cloud_messages.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/unit/decoders_test.cpp
+++ b/tests/unit/decoders_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// All decoders against broken input.
+/// All decoders with malformed input.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -26,7 +26,8 @@
 using samples::peer_status;
 using samples::submission;
 
-// Fuzz-like, with a fixed seed: broken input raises DecodeError or gives a value, nothing else.
+// Decodes randomly modified messages, with a fixed seed. A decoder must return a value or throw
+// DecodeError; it must throw nothing else.
 TEST(DecodersTest, RaiseOnlyDecodeErrorsForBrokenInput) {
   const std::string frame = protocol::encode_peer_status(peer_status());
   const std::string machine_list =
--- a/tests/unit/http_server_test.cpp
+++ b/tests/unit/http_server_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The server's connection budget, over real sockets on the loopback interface.
+/// The server's connection limit, over real sockets on the loopback interface.
 #include "transport/http_server.hpp"
 
 #include <arpa/inet.h>
@@ -13,7 +13,8 @@
 namespace {
 
 constexpr std::size_t budget = 4;
-constexpr int max_turns = 2000;  // of the loop; a response takes a handful
+// Iterations of the loop to wait for a response, which takes about five.
+constexpr int max_turns = 2000;
 
 class Client {
  public:
@@ -28,7 +29,8 @@
   Client(const Client&) = delete;
   Client& operator=(const Client&) = delete;
 
-  /// Whether the request gets a response; not when the server has closed the connection.
+  /// Sends a request and runs the loop. Whether a response arrives; false if the server has closed
+  /// the connection.
   bool gets_response(EventLoop& loop, const std::string& path) const {
     const std::string request = "GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n";
     ::send(socket_, request.data(), request.size(), MSG_NOSIGNAL);
@@ -47,8 +49,8 @@
   int socket_;
 };
 
-// Were users' connections kept, workers that connect after them could not send heartbeats, and
-// would lose their leases.
+// If the server kept users' connections, workers that connect after them could not send heartbeats
+// and would lose their leases.
 TEST(HttpServerTest, ClosesConnectionsWithoutVitalRequestsFirst) {
   EventLoop loop;
   std::unique_ptr<HttpServer> server;
@@ -61,7 +63,7 @@
             respond({200, "{}"});
           });
     } catch (const std::runtime_error&) {
-      ASSERT_LT(port, 60'000);  // taken by somebody else: the next one
+      ASSERT_LT(port, 60'000);  // the port is in use: try the next one
     }
   std::vector<std::unique_ptr<Client>> users;
   for (std::size_t i = 0; i < budget; ++i) {
--- a/tests/unit/message_samples.hpp
+++ b/tests/unit/message_samples.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Messages in the form of PROTOCOL, for tests of the codecs.
+/// Sample messages in the format of PROTOCOL, for tests of the codecs.
 #pragma once
 
 #include "protocol/peer_messages.hpp"
--- a/tests/unit/peer_messages_test.cpp
+++ b/tests/unit/peer_messages_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The status that controllers send one another.
+/// Encoding and decoding of the status that controllers send one another.
 #include "protocol/peer_messages.hpp"
 
 #include <gtest/gtest.h>
@@ -34,8 +34,8 @@
   EXPECT_FALSE(protocol::decode_peer_status("\x81\x01").has_value());
 }
 
-// A head that claims billions of items once blocked the process for seconds while room for them
-// was set aside.
+// A head that declares billions of items blocked the process for seconds, while memory for the
+// items was allocated.
 TEST(PeerMessagesTest, RefusesHugeArraySizesAtOnce) {
   EXPECT_FALSE(
       protocol::decode_peer_status(std::string("\x9b\x00\x00\x00\x7f\xff\xff\xff\xff\x01", 10))
--- a/tests/unit/resources_test.cpp
+++ b/tests/unit/resources_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Amounts of resources: their form in messages, and how often they fit.
+/// Amounts of resources: encoding in messages, and how many times they fit into a capacity.
 #include "protocol/resources.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/unit/route_test.cpp
+++ b/tests/unit/route_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Paths of requests.
+/// Parsing of request paths.
 #include "protocol/route.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/unit/state_messages_test.cpp
+++ b/tests/unit/state_messages_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The state service's requests and responses.
+/// Encoding of requests to the state service and decoding of its responses.
 #include "protocol/state_messages.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/unit/submission_test.cpp
+++ b/tests/unit/submission_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Submissions: what is encoded decodes again, and what is missing or invalid is refused.
+/// Encoding and decoding of submissions, and the rejection of missing and invalid fields.
 #include "protocol/submission.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/unit/tcp_stream_test.cpp
+++ b/tests/unit/tcp_stream_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Streams, listeners and timers on a real loop, over the loopback interface.
+/// Streams, listeners and timers on a libuv loop, over the loopback interface.
 #include "transport/tcp_stream.hpp"
 
 #include <gtest/gtest.h>
@@ -29,11 +29,11 @@
         ++endpoint.port;
         listener = std::make_unique<TcpListener>(loop, endpoint, 4, "tests", [this] { accept(); });
       } catch (const std::runtime_error&) {
-        if (endpoint.port >= 60'000) throw;  // taken by another process: the next one
+        if (endpoint.port >= 60'000) throw;  // the port is in use: try the next one
       }
   }
 
-  /// Lets libuv free what was closed.
+  /// Runs the loop once, so that libuv frees the closed handles.
   void TearDown() override {
     listener.reset();
     server.reset();
@@ -51,6 +51,7 @@
         });
   }
 
+  /// Runs the loop until the condition holds; false if it does not within `max_wait`.
   bool run_until(const std::function<bool()>& condition) {
     const SteadyTime start = loop.now();
     while (!condition() && loop.now() - start < max_wait) uv_run(loop.raw(), UV_RUN_NOWAIT);
--- a/tests/unit/worker_messages_test.cpp
+++ b/tests/unit/worker_messages_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Heartbeats of workers, and commands to them.
+/// Decoding of heartbeats and encoding of commands.
 #include "protocol/worker_messages.hpp"
 
 #include <gtest/gtest.h>
@@ -35,7 +35,7 @@
   body["pieces"][3]["cause"] = "alone";
   const auto tasks = protocol::parse_heartbeat(body.dump()).tasks;
   EXPECT_EQ(tasks[0].state, protocol::TaskState::waiting);
-  EXPECT_EQ(tasks[1].state, protocol::TaskState::running);  // unknown: it occupies its machine
+  EXPECT_EQ(tasks[1].state, protocol::TaskState::running);  // an unknown state counts as running
   EXPECT_EQ(tasks[2].cause, protocol::ExitCause::peer_lost);
   EXPECT_EQ(tasks[3].cause, protocol::ExitCause::gang_incomplete);
 }
