--- a/src/protocol/cbor_array.cpp
+++ b/src/protocol/cbor_array.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /// The array sizes that the item heads of a frame declare, checked against the frame's size.
-struct SizeClaims {
+struct DeclaredSizes {
   std::size_t max_items = 0;
   bool plausible = true;
 };
@@ -16,20 +16,21 @@
 /// Whether every item of the frame is well-formed, none is a map, and no array declares more items
 /// than the frame has bytes. Allocates no items.
 bool has_plausible_sizes(const std::string& frame) {
-  SizeClaims claims{frame.size()};
+  DeclaredSizes declared{frame.size()};
   cbor_callbacks callbacks = cbor_empty_callbacks;
   callbacks.array_start = [](void* context, std::size_t size) {
-    auto* seen = static_cast<SizeClaims*>(context);
-    seen->plausible = seen->plausible && size <= seen->max_items;
+    auto* sizes = static_cast<DeclaredSizes*>(context);
+    sizes->plausible = sizes->plausible && size <= sizes->max_items;
   };
   callbacks.map_start = [](void* context, std::size_t) {
-    static_cast<SizeClaims*>(context)->plausible = false;
+    static_cast<DeclaredSizes*>(context)->plausible = false;
   };
   const auto* data = reinterpret_cast<cbor_data>(frame.data());
-  for (std::size_t at = 0; at < frame.size();) {
-    const auto step = cbor_stream_decode(data + at, frame.size() - at, &callbacks, &claims);
-    if (step.status != CBOR_DECODER_FINISHED || step.read == 0 || !claims.plausible) return false;
-    at += step.read;
+  for (std::size_t offset = 0; offset < frame.size();) {
+    const auto step =
+        cbor_stream_decode(data + offset, frame.size() - offset, &callbacks, &declared);
+    if (step.status != CBOR_DECODER_FINISHED || step.read == 0 || !declared.plausible) return false;
+    offset += step.read;
   }
   return true;
 }
--- a/src/protocol/cloud_messages.cpp
+++ b/src/protocol/cloud_messages.cpp
@@ -47,9 +47,9 @@
 }
 
 /// An unknown state, as a newer cloud may send, is treated as running.
-MachineState parse_machine_state(const std::string& word) {
-  if (word == "failed") return MachineState::failed;
-  if (word == "booting") return MachineState::booting;
+MachineState parse_machine_state(const std::string& wire_value) {
+  if (wire_value == "failed") return MachineState::failed;
+  if (wire_value == "booting") return MachineState::booting;
   return MachineState::running;
 }
 
@@ -68,14 +68,14 @@
 
 std::vector<MachineType> parse_catalog(const Json& root) {
   std::vector<MachineType> out;
-  for (const Json& each : need_list(root, wire::machine_types))
-    out.push_back(parse_machine_type(each));
+  for (const Json& item : need_list(root, wire::machine_types))
+    out.push_back(parse_machine_type(item));
   return out;
 }
 
 Json encode_catalog(const std::vector<MachineType>& types) {
   Json list = Json::array();
-  for (const auto& each : types) list.push_back(encode_machine_type(each));
+  for (const auto& item : types) list.push_back(encode_machine_type(item));
   return {{wire::machine_types, std::move(list)}};
 }
 
@@ -105,8 +105,8 @@
   const Json root = parse_object(body);
   MachineList out;
   out.more = need_flag(root, wire::more);
-  for (const Json& each : need_list(root, wire::machines))
-    out.machines.push_back(parse_listed_machine(each));
+  for (const Json& item : need_list(root, wire::machines))
+    out.machines.push_back(parse_listed_machine(item));
   return out;
 }
 
--- a/src/protocol/peer_messages.cpp
+++ b/src/protocol/peer_messages.cpp
@@ -13,22 +13,22 @@
 // Top-level items of a status: the version, ten single values, the list of job counts and the list
 // of cancelled jobs.
 constexpr std::size_t status_fields = 13;
-// Items for each job in the flat list of job counts.
+// Items per job in the flat list of job counts.
 constexpr std::size_t fields_per_count = 3;
 
 CborArrayWriter encode_counts(const std::vector<JobCounts>& counts) {
   CborArrayWriter out(counts.size() * fields_per_count);
-  for (const auto& each : counts) {
-    out.add(each.job);
-    out.add(each.done);
-    out.add(each.running);
+  for (const auto& item : counts) {
+    out.add(item.job);
+    out.add(item.done);
+    out.add(item.running);
   }
   return out;
 }
 
 CborArrayWriter encode_ids(const std::vector<std::string>& ids) {
   CborArrayWriter out(ids.size());
-  for (const auto& each : ids) out.add(each);
+  for (const auto& item : ids) out.add(item);
   return out;
 }
 
@@ -39,11 +39,11 @@
   if (!reader.ok() || reader.size() % fields_per_count != 0) return false;
   const std::size_t count = reader.size() / fields_per_count;
   for (std::size_t i = 0; i < count && reader.ok(); ++i) {
-    JobCounts each;
-    each.job = reader.read_text();
-    each.done = reader.read_number();
-    each.running = reader.read_number();
-    out.push_back(std::move(each));
+    JobCounts item;
+    item.job = reader.read_text();
+    item.done = reader.read_number();
+    item.running = reader.read_number();
+    out.push_back(std::move(item));
   }
   return reader.ok();
 }
--- a/src/protocol/resources.cpp
+++ b/src/protocol/resources.cpp
@@ -27,11 +27,11 @@
 
 }  // namespace
 
-std::int64_t Resources::times_in(const Resources& room) const {
+std::int64_t Resources::times_in(const Resources& capacity) const {
   std::int64_t times = std::numeric_limits<std::int64_t>::max();
-  if (cpus > 0) times = std::min(times, room.cpus / cpus);
-  if (gpus > 0) times = std::min(times, room.gpus / gpus);
-  if (memory > 0) times = std::min(times, room.memory / memory);
+  if (cpus > 0) times = std::min(times, capacity.cpus / cpus);
+  if (gpus > 0) times = std::min(times, capacity.gpus / gpus);
+  if (memory > 0) times = std::min(times, capacity.memory / memory);
   return std::clamp<std::int64_t>(times, 0, constants::max_tasks);
 }
 
--- a/src/protocol/resources.hpp
+++ b/src/protocol/resources.hpp
@@ -29,12 +29,12 @@
     return *this;
   }
 
-  /// Whether every amount is at most the corresponding one of `room`.
-  bool fits(const Resources& room) const {
-    return cpus <= room.cpus && gpus <= room.gpus && memory <= room.memory;
+  /// Whether every amount is at most the corresponding one of `capacity`.
+  bool fits(const Resources& capacity) const {
+    return cpus <= capacity.cpus && gpus <= capacity.gpus && memory <= capacity.memory;
   }
-  /// How many times these amounts fit into `room`, from 0 to `constants::max_tasks`.
-  std::int64_t times_in(const Resources& room) const;
+  /// How many times these amounts fit into `capacity`, from 0 to `constants::max_tasks`.
+  std::int64_t times_in(const Resources& capacity) const;
 };
 
 /// Reads the amounts from a message. Throws DecodeError if one is missing, invalid or above
--- a/src/protocol/settings.cpp
+++ b/src/protocol/settings.cpp
@@ -64,19 +64,19 @@
   return Seconds{need_positive(object, name)};
 }
 
-double amount_or(const Json& object, const char* name, double otherwise) {
+double amount_or(const Json& object, const char* name, double fallback) {
   const Json* found = find(object, name);
-  return found == nullptr ? otherwise : as_amount(*found, name);
+  return found == nullptr ? fallback : as_amount(*found, name);
 }
 
-// The field's number, which must be above 0, or `otherwise` if the field is absent.
-double positive_or(const Json& object, const char* name, double otherwise) {
-  return find(object, name) == nullptr ? otherwise : need_positive(object, name);
+// The field's number, which must be above 0, or `fallback` if the field is absent.
+double positive_or(const Json& object, const char* name, double fallback) {
+  return find(object, name) == nullptr ? fallback : need_positive(object, name);
 }
 
-TeamSettings parse_team(const Json& each) {
-  return {need_text(each, "name"), amount_or(each, "cpus", 0), amount_or(each, "cpus_max", 0),
-          amount_or(each, "gpus", 0), amount_or(each, "gpus_max", 0)};
+TeamSettings parse_team(const Json& item) {
+  return {need_text(item, "name"), amount_or(item, "cpus", 0), amount_or(item, "cpus_max", 0),
+          amount_or(item, "gpus", 0), amount_or(item, "gpus_max", 0)};
 }
 
 // Returns nullopt if a timeout is absent, as in deployments without gangs.
@@ -87,13 +87,13 @@
   return GangTimes{assembly, peer_loss};
 }
 
-// A limit that is absent in `given` is taken from `otherwise`.
-StateLimits state_limits_or(const Json& given, const StateLimits& otherwise) {
+// A limit that is absent in `given` is taken from `fallback`.
+StateLimits state_limits_or(const Json& given, const StateLimits& fallback) {
   StateLimits out;
-  out.rps = positive_or(given, rps_field, otherwise.rps);
-  out.write_rps = positive_or(given, write_rps_field, otherwise.write_rps);
-  out.value_kb = positive_or(given, value_size_field, otherwise.value_kb);
-  out.txn_ops = static_cast<int>(positive_or(given, max_changes_field, otherwise.txn_ops));
+  out.rps = positive_or(given, rps_field, fallback.rps);
+  out.write_rps = positive_or(given, write_rps_field, fallback.write_rps);
+  out.value_kb = positive_or(given, value_size_field, fallback.value_kb);
+  out.txn_ops = static_cast<int>(positive_or(given, max_changes_field, fallback.txn_ops));
   return out;
 }
 
@@ -158,10 +158,10 @@
 // The list is optional; objectives of other kinds are ignored.
 void parse_objectives(const Json& given, Settings& out) {
   if (find(given, objectives_field) == nullptr) return;
-  for (const Json& each : need_list(given, objectives_field)) {
-    if (!each.is_object()) throw DecodeError::expected(objectives_field, "objects");
-    if (need_text(each, "kind") != "finished") continue;
-    out.finish_aims.push_back({need_text(each, "class"), need_positive_seconds(each, "within_s")});
+  for (const Json& item : need_list(given, objectives_field)) {
+    if (!item.is_object()) throw DecodeError::expected(objectives_field, "objects");
+    if (need_text(item, "kind") != "finished") continue;
+    out.finish_aims.push_back({need_text(item, "class"), need_positive_seconds(item, "within_s")});
   }
 }
 
@@ -170,9 +170,9 @@
   out.zone = need_text(root, zone_field);
   out.listen = need_endpoint(root, "bind");
   out.peer_listen = need_endpoint(root, "peer_bind");
-  for (const Json& each : need_list(root, "siblings"))
-    out.peers.push_back({need_text(each, name_field), need_text(each, zone_field),
-                         need_endpoint(each, "peer_addr")});
+  for (const Json& item : need_list(root, "siblings"))
+    out.peers.push_back({need_text(item, name_field), need_text(item, zone_field),
+                         need_endpoint(item, "peer_addr")});
   const Json& services = need_section(root, "services");
   out.cloud = need_endpoint(services, "cloud");
   out.state = need_endpoint(services, "state");
@@ -190,7 +190,7 @@
   parse_addresses(root, out);
   const Json& given = need_section(root, "settings");
   out.zones = need_texts(given, "zones");
-  for (const Json& each : need_list(given, "teams")) out.teams.push_back(parse_team(each));
+  for (const Json& item : need_list(given, "teams")) out.teams.push_back(parse_team(item));
   parse_limits(given, out);
   check_consistency(out);
   parse_objectives(given, out);
--- a/src/protocol/state_messages.cpp
+++ b/src/protocol/state_messages.cpp
@@ -45,9 +45,9 @@
 template <typename Item>
 std::string encode_list(const std::vector<Item>& items, std::string (*encode)(const Item&)) {
   std::string out = "[";
-  for (const auto& each : items) {
+  for (const auto& item : items) {
     if (out.size() > 1) out += ",";
-    out += encode(each);
+    out += encode(item);
   }
   return out + "]";
 }
@@ -115,8 +115,8 @@
 EntryPage parse_entries(const std::string& body) {
   const Json root = parse_object(body);
   EntryPage out;
-  for (const Json& each : need_list(root, "entries"))
-    out.entries.push_back(parse_entry_object(each));
+  for (const Json& item : need_list(root, "entries"))
+    out.entries.push_back(parse_entry_object(item));
   out.more = need_flag(root, wire::more);
   out.revision = need_count(root, wire::revision);
   return out;
@@ -126,7 +126,7 @@
   const Json root = parse_object(body);
   WatchPage out;
   out.revision = need_count(root, wire::revision);
-  for (const Json& each : need_list(root, "log")) out.events.push_back(parse_watch_event(each));
+  for (const Json& item : need_list(root, "log")) out.events.push_back(parse_watch_event(item));
   return out;
 }
 
--- a/src/protocol/submission.cpp
+++ b/src/protocol/submission.cpp
@@ -30,16 +30,18 @@
 constexpr const char* deadline_field = "due_s";
 
 // Wire values in the order of the enumerators.
-constexpr std::array<const char*, 3> kind_words = {"sweep", "standing", "gang"};
-constexpr std::array<const char*, 4> priority_words = {"idle", "normal", "high", "production"};
+constexpr std::array<const char*, 3> kind_values = {"sweep", "standing", "gang"};
+constexpr std::array<const char*, 4> priority_values = {"idle", "normal", "high", "production"};
 
-/// Reads an enumerator by its wire value; `words` lists the wire values in the order of `Enum`.
+/// Reads an enumerator by its wire value; `wire_values` lists the wire values in the order of
+/// `Enum`.
 template <typename Enum, std::size_t count>
-Enum need_enum(const Json& body, const char* name, const std::array<const char*, count>& words) {
-  const std::string word = need_text(body, name);
-  const auto found = std::find(words.begin(), words.end(), word);
-  if (found == words.end()) throw DecodeError(name, "is unknown");
-  return static_cast<Enum>(found - words.begin());
+Enum need_enum(const Json& body, const char* name,
+               const std::array<const char*, count>& wire_values) {
+  const std::string wire_value = need_text(body, name);
+  const auto found = std::find(wire_values.begin(), wire_values.end(), wire_value);
+  if (found == wire_values.end()) throw DecodeError(name, "is unknown");
+  return static_cast<Enum>(found - wire_values.begin());
 }
 
 /// Reads a text of 1 to `constants::max_name_bytes` bytes.
@@ -83,8 +85,8 @@
   job.id = need_job_id(body);
   job.job_class = need_name(body, job_class_field);
   job.team = need_name(body, team_field);
-  job.kind = need_enum<JobKind>(body, wire::job_kind, kind_words);
-  job.priority = need_enum<Priority>(body, priority_field, priority_words);
+  job.kind = need_enum<JobKind>(body, wire::job_kind, kind_values);
+  job.priority = need_enum<Priority>(body, priority_field, priority_values);
   job.tasks = need_task_count(body);
   job.each = need_task_resources(body);
   if (find(body, wire::machine_types) != nullptr) job.types = need_texts(body, wire::machine_types);
@@ -105,8 +107,8 @@
   Json out = {{wire::job_id, job.id},
               {job_class_field, job.job_class},
               {team_field, job.team},
-              {wire::job_kind, kind_words.at(static_cast<std::size_t>(job.kind))},
-              {priority_field, priority_words.at(static_cast<std::size_t>(job.priority))},
+              {wire::job_kind, kind_values.at(static_cast<std::size_t>(job.kind))},
+              {priority_field, priority_values.at(static_cast<std::size_t>(job.priority))},
               {wire::tasks, job.tasks},
               {one_zone_field, job.one_zone},
               {spread_field, job.spread},
--- a/src/protocol/worker_messages.cpp
+++ b/src/protocol/worker_messages.cpp
@@ -30,43 +30,44 @@
 constexpr const char* grace_field = "wind_down_s";
 constexpr const char* leader_field = "foreman";
 
-/// The enumerator for the wire value `word`, or `otherwise` for a value that this version does not
+/// The enumerator for `wire_value`, or `fallback` for a value that this version does not
 /// support.
 template <typename Enum>
-Enum value_or(const std::map<std::string, Enum>& words, const std::string& word, Enum otherwise) {
-  const auto found = words.find(word);
-  return found == words.end() ? otherwise : found->second;
+Enum value_or(const std::map<std::string, Enum>& wire_values, const std::string& wire_value,
+              Enum fallback) {
+  const auto found = wire_values.find(wire_value);
+  return found == wire_values.end() ? fallback : found->second;
 }
 
-TaskState parse_state(const std::string& word) {
-  static const std::map<std::string, TaskState> words = {{"pulling", TaskState::fetching},
-                                                         {"waiting", TaskState::waiting},
-                                                         {"running", TaskState::running},
-                                                         {"saving", TaskState::saving},
-                                                         {"exited", TaskState::exited}};
+TaskState parse_state(const std::string& wire_value) {
+  static const std::map<std::string, TaskState> wire_values = {{"pulling", TaskState::fetching},
+                                                               {"waiting", TaskState::waiting},
+                                                               {"running", TaskState::running},
+                                                               {"saving", TaskState::saving},
+                                                               {"exited", TaskState::exited}};
   // A task in a state that this version does not support still occupies its machine.
-  return value_or(words, word, TaskState::running);
+  return value_or(wire_values, wire_value, TaskState::running);
 }
 
-ExitCause parse_cause(const std::string& word) {
-  static const std::map<std::string, ExitCause> words = {
+ExitCause parse_cause(const std::string& wire_value) {
+  static const std::map<std::string, ExitCause> wire_values = {
       {"done", ExitCause::done},       {"halted", ExitCause::stopped},
       {"error", ExitCause::error},     {"no_room", ExitCause::no_room},
       {"busy", ExitCause::busy},       {"unknown", ExitCause::unknown},
       {"peers", ExitCause::peer_lost}, {"alone", ExitCause::gang_incomplete}};
-  return value_or(words, word, ExitCause::error);
+  return value_or(wire_values, wire_value, ExitCause::error);
 }
 
-ReportedTask parse_task(const Json& each) {
-  if (!each.is_object()) throw DecodeError(wire::tasks, "holds no object");
+ReportedTask parse_task(const Json& item) {
+  if (!item.is_object()) throw DecodeError(wire::tasks, "holds no object");
   ReportedTask out;
-  if (!split_task_name(need_text(each, wire::task), out.job, out.index))
+  if (!split_task_name(need_text(item, wire::task), out.job, out.index))
     throw DecodeError(wire::task, "is malformed");
-  out.attempt = need_count(each, wire::attempt);
-  out.state = parse_state(need_text(each, wire::state));
+  out.attempt = need_count(item, wire::attempt);
+  out.state = parse_state(need_text(item, wire::state));
   if (out.state != TaskState::exited) return out;
-  out.cause = parse_cause(need_text(each, cause_field));
-  out.saved = find(each, saved_field) != nullptr && need_flag(each, saved_field);
+  out.cause = parse_cause(need_text(item, cause_field));
+  out.saved = find(item, saved_field) != nullptr && need_flag(item, saved_field);
   return out;
 }
 
@@ -78,7 +79,7 @@
   return name;
 }
 
-const char* operation_word(Command::Op op) {
+const char* operation_value(Command::Op op) {
   switch (op) {
     case Command::Op::start:
       return "start";
@@ -91,7 +92,7 @@
 }
 
 Json encode_command(const Command& command) {
-  Json out = {{operation_field, operation_word(command.op)},
+  Json out = {{operation_field, operation_value(command.op)},
               {wire::task, task_name(command.job, command.index)},
               {wire::attempt, command.attempt}};
   if (command.op == Command::Op::stop) out[grace_field] = command.grace.count();
@@ -150,13 +151,13 @@
   out.token = need_count(root, wire::fencing_token);
   if (find(root, preemption_notice_field) != nullptr)
     out.preemption_notice = need_seconds(root, preemption_notice_field);
-  for (const Json& each : need_list(root, wire::tasks)) out.tasks.push_back(parse_task(each));
+  for (const Json& item : need_list(root, wire::tasks)) out.tasks.push_back(parse_task(item));
   return out;
 }
 
 std::string encode_commands(std::uint64_t token, const std::vector<Command>& commands) {
   Json list = Json::array();
-  for (const auto& each : commands) list.push_back(encode_command(each));
+  for (const auto& item : commands) list.push_back(encode_command(item));
   return Json{{wire::fencing_token, token}, {commands_field, std::move(list)}}.dump();
 }
 
--- a/src/transport/http_client.cpp
+++ b/src/transport/http_client.cpp
@@ -125,7 +125,7 @@
     if (finished) finished->connection = nullptr;
     if (!keep_alive || !finished) close();
     if (finished) finished->settle(std::move(response));
-    if (!closing_) client_.pump(pool_);
+    if (!closing_) client_.dispatch_waiting(pool_);
   }
 
   static const http_parser_settings& parser_settings() {
@@ -183,7 +183,7 @@
     exchange->settle({});
   });
   pool.waiting.push_back(std::move(exchange));
-  pump(pool);
+  dispatch_waiting(pool);
 }
 
 std::shared_ptr<HttpClient::Connection> HttpClient::free_connection(Pool& pool) {
@@ -194,7 +194,7 @@
   return pool.open.emplace_back(std::make_shared<Connection>(*this, pool));
 }
 
-void HttpClient::pump(Pool& pool) {
+void HttpClient::dispatch_waiting(Pool& pool) {
   while (!pool.waiting.empty()) {
     if (pool.waiting.front()->settled) {
       pool.waiting.pop_front();
@@ -211,7 +211,7 @@
 
 void HttpClient::on_closed(Pool& pool, const Connection* connection) {
   std::erase_if(pool.open, [&](const auto& each) { return each.get() == connection; });
-  loop_.after(Seconds{0}, [this, &pool] { pump(pool); });
+  loop_.after(Seconds{0}, [this, &pool] { dispatch_waiting(pool); });
 }
 
 }  // namespace poppystile::transport
--- a/src/transport/http_client.hpp
+++ b/src/transport/http_client.hpp
@@ -30,7 +30,7 @@
   Pool& pool_of(const Endpoint& to);
   /// Assigns waiting calls to idle connections, and opens new ones up to
   /// `constants::client_connections`.
-  void pump(Pool& pool);
+  void dispatch_waiting(Pool& pool);
   /// An idle connection, or a new one; nullptr when the limit is reached.
   std::shared_ptr<Connection> free_connection(Pool& pool);
   /// Removes the connection from its pool and assigns the calls that still wait.
--- a/src/transport/http_server.cpp
+++ b/src/transport/http_server.cpp
@@ -39,7 +39,7 @@
     ++server_.open_connections_;
     http_parser_init(&parser_, HTTP_REQUEST);
     parser_.data = this;
-    ordinary_position_ = server_.ordinary_.insert(server_.ordinary_.end(), this);
+    evictable_position_ = server_.evictable_.insert(server_.evictable_.end(), this);
   }
   ~Connection() { --server_.open_connections_; }
   Connection(const Connection&) = delete;
@@ -62,7 +62,7 @@
 
   void close() {
     if (std::exchange(closing_, true)) return;
-    leave_ordinary();
+    remove_from_evictable();
     stream_.close();
     idle_timer_.close();
   }
@@ -83,7 +83,7 @@
     const bool keep_alive = http_should_keep_alive(&parser_) != 0;
     const HttpRequest request{http_method_str(static_cast<http_method>(parser_.method)),
                               std::exchange(target_, {}), std::exchange(body_, {})};
-    if (server_.is_vital_(request)) leave_ordinary();
+    if (server_.has_priority_(request)) remove_from_evictable();
     move_to_most_recent();
     if (std::exchange(body_too_large_, false))
       return respond({400, R"({"error":"body over 64 KiB"})"}, keep_alive);
@@ -92,14 +92,14 @@
     });
   }
 
-  void leave_ordinary() {
-    if (ordinary_position_) server_.ordinary_.erase(*ordinary_position_);
-    ordinary_position_.reset();
+  void remove_from_evictable() {
+    if (evictable_position_) server_.evictable_.erase(*evictable_position_);
+    evictable_position_.reset();
   }
 
   void move_to_most_recent() {
-    auto& ordinary = server_.ordinary_;
-    if (ordinary_position_) ordinary.splice(ordinary.end(), ordinary, *ordinary_position_);
+    auto& evictable = server_.evictable_;
+    if (evictable_position_) evictable.splice(evictable.end(), evictable, *evictable_position_);
   }
 
   void respond(const HttpResponse& response, bool keep_alive) {
@@ -151,15 +151,15 @@
   bool body_too_large_ = false;
   bool closing_ = false;
   bool close_after_write_ = false;
-  std::optional<std::list<Connection*>::iterator> ordinary_position_;
+  std::optional<std::list<Connection*>::iterator> evictable_position_;
 };
 
 // When all other controllers fail, all workers and users may connect to the remaining one within a
 // second, so the listen backlog is as large as the connection limit.
 HttpServer::HttpServer(EventLoop& loop, const Endpoint& listen, std::size_t max_connections,
-                       std::function<bool(const HttpRequest&)> is_vital, HttpHandler handler)
+                       std::function<bool(const HttpRequest&)> has_priority, HttpHandler handler)
     : loop_(loop),
-      is_vital_(std::move(is_vital)),
+      has_priority_(std::move(has_priority)),
       handler_(std::move(handler)),
       max_connections_(max_connections),
       listener_(loop, listen, static_cast<int>(max_connections), "requests", [this] { accept(); }) {
@@ -172,10 +172,10 @@
   // Over the limit, every connection is still accepted, and one is closed: a connection that stayed
   // in the backlog would leave its client waiting. The newest connection may be that of a worker
   // whose lease depends on it, so it is closed only if no other can be.
-  const bool within_budget = open_connections_ <= max_connections_;
-  if (!connection->open() || within_budget) return;
+  const bool within_limit = open_connections_ <= max_connections_;
+  if (!connection->open() || within_limit) return;
   spdlog::debug("connection shed open={} max={}", open_connections_, max_connections_);
-  ordinary_.front()->close();
+  evictable_.front()->close();
 }
 
 }  // namespace poppystile::transport
--- a/src/transport/http_server.hpp
+++ b/src/transport/http_server.hpp
@@ -19,14 +19,14 @@
 /// Serves HTTP on a limited number of connections.
 ///
 /// Over the limit, the server closes the connection with the oldest last request, among those that
-/// have carried no vital request. A request with a body over `constants::max_request_body_bytes`
+/// have carried no priority request. A request with a body over `constants::max_request_body_bytes`
 /// gets status 400.
 class HttpServer {
  public:
   /// Starts to listen; throws std::runtime_error if that fails. A connection that has carried a
-  /// request for which `is_vital` returns true is never closed in favour of another.
+  /// request for which `has_priority` returns true is never closed in favour of another.
   HttpServer(EventLoop& loop, const Endpoint& listen, std::size_t max_connections,
-             std::function<bool(const HttpRequest&)> is_vital, HttpHandler handler);
+             std::function<bool(const HttpRequest&)> has_priority, HttpHandler handler);
   ~HttpServer();
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
@@ -37,12 +37,12 @@
   void accept();
 
   EventLoop& loop_;
-  std::function<bool(const HttpRequest&)> is_vital_;
+  std::function<bool(const HttpRequest&)> has_priority_;
   HttpHandler handler_;
   std::size_t max_connections_;
   std::size_t open_connections_ = 0;
-  // Open connections that have carried no vital request, least recently used first.
-  std::list<Connection*> ordinary_;
+  // Open connections that have carried no priority request, least recently used first.
+  std::list<Connection*> evictable_;
   TcpListener listener_;
 };
 
--- a/src/transport/peer_connections.cpp
+++ b/src/transport/peer_connections.cpp
@@ -52,7 +52,7 @@
   /// Sends the frame if the connection is established; otherwise drops it and connects.
   void send(const std::string& frame) {
     if (!stream_) return connect();
-    if (!connected_) return give_up_if_stuck();
+    if (!connected_) return disconnect_if_timed_out();
     // Writes to a broken connection report no error; only the growing send queue reveals it.
     if (stream_->write_queue_size() > max_queued_frames * frame.size() + queue_allowance_bytes)
       return disconnect();
@@ -76,7 +76,7 @@
   }
 
   /// Abandons a connection attempt that takes longer than `max_peer_status_age`.
-  void give_up_if_stuck() {
+  void disconnect_if_timed_out() {
     if (loop_.now() - connecting_since_ > constants::max_peer_status_age) disconnect();
   }
 
--- a/tests/unit/cbor_array_test.cpp
+++ b/tests/unit/cbor_array_test.cpp
@@ -21,7 +21,7 @@
   return array.serialize();
 }
 
-TEST(CborArrayTest, ReadsWhatWasWritten) {
+TEST(CborArrayTest, ReadsWrittenItems) {
   CborArrayReader reader(decode_cbor(sample()));
   EXPECT_EQ(reader.size(), 4u);
   EXPECT_EQ(reader.read_number(), 7u);
@@ -33,7 +33,7 @@
   EXPECT_TRUE(reader.ok());
 }
 
-TEST(CborArrayTest, FailsForGoodAtAnItemOfAnotherType) {
+TEST(CborArrayTest, StaysFailedAfterAnItemOfAnotherType) {
   CborArrayReader reader(decode_cbor(sample()));
   EXPECT_EQ(reader.read_text(), "");
   EXPECT_FALSE(reader.ok());
@@ -50,7 +50,7 @@
   EXPECT_FALSE(reader.ok());
 }
 
-TEST(CborArrayTest, RefusesFramesThatAreNoArray) {
+TEST(CborArrayTest, RejectsFramesWithoutAnArray) {
   EXPECT_FALSE(CborArrayReader(decode_cbor("\x07")).ok());
   EXPECT_FALSE(CborArrayReader(decode_cbor("")).ok());
   EXPECT_EQ(decode_cbor("\xa1\x01\x02"), nullptr);
--- a/tests/unit/decoders_test.cpp
+++ b/tests/unit/decoders_test.cpp
@@ -28,7 +28,7 @@
 
 // Decodes randomly modified messages, with a fixed seed. A decoder must return a value or throw
 // DecodeError; it must throw nothing else.
-TEST(DecodersTest, RaiseOnlyDecodeErrorsForBrokenInput) {
+TEST(DecodersTest, ThrowOnlyDecodeErrorForMalformedInput) {
   const std::string frame = protocol::encode_peer_status(peer_status());
   const std::string machine_list =
       R"({"stiles":[{"id":"n-1","build":"g8","yard":"a","loaners":true,"stage":"running","held_s":6}],"more":false})";
@@ -53,21 +53,21 @@
        }},
       {frame, [](auto& s) { protocol::decode_peer_status(s); }}};
   std::mt19937_64 random(5);
-  for (const auto& [good, decode] : targets) {
-    EXPECT_NO_THROW(decode(good));
+  for (const auto& [original, decode] : targets) {
+    EXPECT_NO_THROW(decode(original));
     for (int round = 0; round < 3000; ++round) {
-      std::string broken = good;
+      std::string malformed = original;
       for (int edits = 1 + static_cast<int>(random() % 4); edits > 0; --edits) {
-        const std::size_t at = random() % broken.size();
+        const std::size_t position = random() % malformed.size();
         if (random() % 3 == 0) {
-          broken.erase(at, 1 + random() % 5);
+          malformed.erase(position, 1 + random() % 5);
         } else {
-          broken[at] = static_cast<char>(random());
+          malformed[position] = static_cast<char>(random());
         }
-        if (broken.empty()) broken = "x";
+        if (malformed.empty()) malformed = "x";
       }
       try {
-        decode(broken);
+        decode(malformed);
       } catch (const DecodeError&) {
       }
     }
--- a/tests/unit/http_server_test.cpp
+++ b/tests/unit/http_server_test.cpp
@@ -12,9 +12,9 @@
 namespace poppystile::transport {
 namespace {
 
-constexpr std::size_t budget = 4;
+constexpr std::size_t max_connections = 4;
 // Iterations of the loop to wait for a response, which takes about five.
-constexpr int max_turns = 2000;
+constexpr int max_iterations = 2000;
 
 class Client {
  public:
@@ -35,7 +35,7 @@
     const std::string request = "GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n";
     ::send(socket_, request.data(), request.size(), MSG_NOSIGNAL);
     char response[512];
-    for (int turn = 0; turn < max_turns; ++turn) {
+    for (int iteration = 0; iteration < max_iterations; ++iteration) {
       uv_run(loop.raw(), UV_RUN_NOWAIT);
       const auto count = ::recv(socket_, response, sizeof(response), MSG_DONTWAIT);
       if (count >= 0) return count > 0;
@@ -51,14 +51,14 @@
 
 // If the server kept users' connections, workers that connect after them could not send heartbeats
 // and would lose their leases.
-TEST(HttpServerTest, ClosesConnectionsWithoutVitalRequestsFirst) {
+TEST(HttpServerTest, ClosesConnectionsWithoutPriorityRequestsFirst) {
   EventLoop loop;
   std::unique_ptr<HttpServer> server;
   std::uint16_t port = 20'000;
   while (!server) try {
       server = std::make_unique<HttpServer>(
-          loop, Endpoint{"127.0.0.1", ++port}, budget,
-          [](const HttpRequest& request) { return request.target == "/vital"; },
+          loop, Endpoint{"127.0.0.1", ++port}, max_connections,
+          [](const HttpRequest& request) { return request.target == "/priority"; },
           [](const HttpRequest&, const Respond& respond) {
             respond({200, "{}"});
           });
@@ -66,19 +66,19 @@
       ASSERT_LT(port, 60'000);  // the port is in use: try the next one
     }
   std::vector<std::unique_ptr<Client>> users;
-  for (std::size_t i = 0; i < budget; ++i) {
+  for (std::size_t i = 0; i < max_connections; ++i) {
     users.push_back(std::make_unique<Client>(port));
-    EXPECT_TRUE(users.back()->gets_response(loop, "/ordinary"));
+    EXPECT_TRUE(users.back()->gets_response(loop, "/other"));
   }
   std::vector<std::unique_ptr<Client>> workers;
-  for (std::size_t i = 0; i < budget; ++i) {
+  for (std::size_t i = 0; i < max_connections; ++i) {
     workers.push_back(std::make_unique<Client>(port));
-    EXPECT_TRUE(workers.back()->gets_response(loop, "/vital"));
+    EXPECT_TRUE(workers.back()->gets_response(loop, "/priority"));
   }
-  for (const auto& each : workers) EXPECT_TRUE(each->gets_response(loop, "/vital"));
-  for (const auto& each : users) EXPECT_FALSE(each->gets_response(loop, "/ordinary"));
-  const Client late(port);
-  EXPECT_FALSE(late.gets_response(loop, "/ordinary"));
+  for (const auto& each : workers) EXPECT_TRUE(each->gets_response(loop, "/priority"));
+  for (const auto& each : users) EXPECT_FALSE(each->gets_response(loop, "/other"));
+  const Client another_user(port);
+  EXPECT_FALSE(another_user.gets_response(loop, "/other"));
 }
 
 }  // namespace
--- a/tests/unit/peer_messages_test.cpp
+++ b/tests/unit/peer_messages_test.cpp
@@ -14,7 +14,7 @@
 
 using samples::peer_status;
 
-TEST(PeerMessagesTest, DecodesWhatItEncodesAndRefusesGarbage) {
+TEST(PeerMessagesTest, DecodesItsEncodingAndRejectsMalformedFrames) {
   protocol::PeerStatus status = peer_status();
   status.fresh_as_of_wall = wall_at(1.5e9);
   status.all_cancelled = false;
@@ -36,7 +36,7 @@
 
 // A head that declares billions of items blocked the process for seconds, while memory for the
 // items was allocated.
-TEST(PeerMessagesTest, RefusesHugeArraySizesAtOnce) {
+TEST(PeerMessagesTest, RejectsHugeArraySizesWithoutAllocation) {
   EXPECT_FALSE(
       protocol::decode_peer_status(std::string("\x9b\x00\x00\x00\x7f\xff\xff\xff\xff\x01", 10))
           .has_value());
--- a/tests/unit/resources_test.cpp
+++ b/tests/unit/resources_test.cpp
@@ -21,7 +21,7 @@
   EXPECT_EQ(encoded, message);
 }
 
-TEST(ResourcesTest, RefusesAmountsAboveTheBoundAndNamesTheField) {
+TEST(ResourcesTest, RejectsAmountsAboveTheLimitAndNamesTheField) {
   Json large = message;
   large["ram_gb"] = 11;
   EXPECT_EQ(parse_resources(large).memory, 11000);
@@ -34,14 +34,14 @@
   }
 }
 
-TEST(ResourcesTest, CountsHowOftenItFits) {
-  const Resources room{8000, 2000, 16000};
-  EXPECT_EQ((Resources{2000, 0, 1000}).times_in(room), 4);
-  EXPECT_EQ((Resources{1000, 1000, 1000}).times_in(room), 2);
-  EXPECT_EQ((Resources{9000, 0, 0}).times_in(room), 0);
+TEST(ResourcesTest, CountsHowManyTimesItFits) {
+  const Resources capacity{8000, 2000, 16000};
+  EXPECT_EQ((Resources{2000, 0, 1000}).times_in(capacity), 4);
+  EXPECT_EQ((Resources{1000, 1000, 1000}).times_in(capacity), 2);
+  EXPECT_EQ((Resources{9000, 0, 0}).times_in(capacity), 0);
 }
 
-TEST(DecodeErrorTest, NamesTheFieldAndWhatWasExpected) {
+TEST(DecodeErrorTest, NamesTheFieldAndTheExpectedValue) {
   const auto error = DecodeError::expected("lease_s", "a number above 0");
   EXPECT_EQ(error.field(), "lease_s");
   EXPECT_EQ(std::string(error.what()), "lease_s: expected a number above 0");
--- a/tests/unit/route_test.cpp
+++ b/tests/unit/route_test.cpp
@@ -7,7 +7,7 @@
 namespace poppystile {
 namespace {
 
-TEST(RouteTest, TellsKindAndJobOfAPath) {
+TEST(RouteTest, ParsesKindAndJobId) {
   using Kind = protocol::Route::Kind;
   EXPECT_EQ(protocol::parse_route("/submissions").kind, Kind::submit);
   EXPECT_EQ(protocol::parse_route("/submissions/req-1").id, "req-1");
--- a/tests/unit/submission_test.cpp
+++ b/tests/unit/submission_test.cpp
@@ -16,7 +16,7 @@
 using protocol::Json;
 using samples::submission;
 
-TEST(SubmissionTest, DecodesWhatItEncodes) {
+TEST(SubmissionTest, DecodesItsEncoding) {
   const auto job = protocol::parse_submission(protocol::parse_object(submission));
   EXPECT_EQ(job.id, "req-000412");
   EXPECT_EQ(job.each.memory, 64000);
@@ -25,23 +25,24 @@
   EXPECT_EQ(protocol::encode_submission(again), protocol::encode_submission(job));
 }
 
-TEST(SubmissionTest, RefusesMissingAndInvalidFields) {
-  const std::pair<const char*, Json> bad[] = {{"id", "job-1"},      {"id", "req-"},
-                                              {"id", "req-1 2"},    {"id", 7},
-                                              {"shape", "cloud"},   {"rank", "top"},
-                                              {"pieces", 0},        {"pieces", 100001},
-                                              {"pieces", -1},       {"pieces", 1.5},
-                                              {"cores", -1},        {"cores", 0},
-                                              {"cores", "8"},       {"cores", 1e300},
-                                              {"ram_gb", true},     {"one_zone", 1},
-                                              {"bundle", ""},       {"due_s", -5},
-                                              {"builds", "g8"},     {"builds", Json{1}},
-                                              {"lane", nullptr},    {"guess_s", nullptr},
-                                              {"scatter", "no"},    {"crew", std::string(300, 'x')},
-                                              {"mark_every_s", -1}, {"mark_cost_s", "4"},
-                                              {"pull_gb", -1},      {"guess_s", -1},
-                                              {"yard", 3}};
-  for (const auto& [field, value] : bad) {
+TEST(SubmissionTest, RejectsMissingAndInvalidFields) {
+  const std::pair<const char*, Json> invalid[] = {
+      {"id", "job-1"},      {"id", "req-"},
+      {"id", "req-1 2"},    {"id", 7},
+      {"shape", "cloud"},   {"rank", "top"},
+      {"pieces", 0},        {"pieces", 100001},
+      {"pieces", -1},       {"pieces", 1.5},
+      {"cores", -1},        {"cores", 0},
+      {"cores", "8"},       {"cores", 1e300},
+      {"ram_gb", true},     {"one_zone", 1},
+      {"bundle", ""},       {"due_s", -5},
+      {"builds", "g8"},     {"builds", Json{1}},
+      {"lane", nullptr},    {"guess_s", nullptr},
+      {"scatter", "no"},    {"crew", std::string(300, 'x')},
+      {"mark_every_s", -1}, {"mark_cost_s", "4"},
+      {"pull_gb", -1},      {"guess_s", -1},
+      {"yard", 3}};
+  for (const auto& [field, value] : invalid) {
     Json body = Json::parse(submission);
     body[field] = value;
     EXPECT_THROW(protocol::parse_submission(body), DecodeError) << field << " " << value;
@@ -62,15 +63,15 @@
 }
 
 TEST(SubmissionTest, TreatsNullAsAbsent) {
-  Json with = Json::parse(submission);
-  with["builds"] = nullptr;
-  with["due_s"] = nullptr;
-  Json without = with;
-  without.erase("builds");
-  without.erase("due_s");
-  without.erase("yard");
-  EXPECT_EQ(protocol::encode_submission(protocol::parse_submission(with)),
-            protocol::encode_submission(protocol::parse_submission(without)));
+  Json null_fields = Json::parse(submission);
+  null_fields["builds"] = nullptr;
+  null_fields["due_s"] = nullptr;
+  Json absent_fields = null_fields;
+  absent_fields.erase("builds");
+  absent_fields.erase("due_s");
+  absent_fields.erase("yard");
+  EXPECT_EQ(protocol::encode_submission(protocol::parse_submission(null_fields)),
+            protocol::encode_submission(protocol::parse_submission(absent_fields)));
 }
 
 TEST(SubmissionTest, DecodesAndEncodesGangs) {
--- a/tests/unit/tcp_stream_test.cpp
+++ b/tests/unit/tcp_stream_test.cpp
@@ -66,7 +66,7 @@
   bool ended = false;
 };
 
-TEST_F(TcpStreamTest, DeliversWhatIsWrittenAndTheEnd) {
+TEST_F(TcpStreamTest, DeliversWrittenDataAndTheEnd) {
   TcpStream client(loop);
   bool connected = false;
   ASSERT_TRUE(client.connect(endpoint, [&](bool success) { connected = success; }));
@@ -89,7 +89,7 @@
   EXPECT_FALSE(called);
 }
 
-TEST_F(TcpStreamTest, ReportsThatNobodyListens) {
+TEST_F(TcpStreamTest, ReportsARefusedConnection) {
   listener.reset();
   uv_run(loop.raw(), UV_RUN_NOWAIT);
   TcpStream client(loop);
@@ -99,7 +99,7 @@
   EXPECT_EQ(connected, false);
 }
 
-TEST_F(TcpStreamTest, ListenerSaysWhyItCannotListen) {
+TEST_F(TcpStreamTest, ListenerThrowsWhenThePortIsInUse) {
   EXPECT_THROW(TcpListener(loop, endpoint, 4, "tests", [] {}), std::runtime_error);
 }
 
@@ -115,7 +115,7 @@
   loop.run();
 }
 
-TEST(TimerTest, NeverFiresAfterItsClose) {
+TEST(TimerTest, NeverFiresAfterClose) {
   EventLoop loop;
   int fired = 0;
   Timer timer(loop, [&] { ++fired; });
--- a/tests/unit/worker_messages_test.cpp
+++ b/tests/unit/worker_messages_test.cpp
@@ -40,7 +40,7 @@
   EXPECT_EQ(tasks[3].cause, protocol::ExitCause::gang_incomplete);
 }
 
-TEST(CommandsTest, HaveTheFormOfTheProtocol) {
+TEST(CommandsTest, EncodeTheExampleOfTheProtocol) {
   const std::string body = protocol::encode_commands(
       41, {{protocol::Command::Op::start, "req-000412", 4, 2, Seconds{0}},
            {protocol::Command::Op::stop, "req-000377", 1, 1, Seconds{10}},
