--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -72,7 +72,7 @@
 protocol::Settings read_settings(const std::string& path) {
   try {
     std::ifstream file(path);
-    if (!file) throw protocol::DecodeError("cannot be read");
+    if (!file) throw protocol::DecodeError("cannot open the settings file for reading");
     std::stringstream text;
     text << file.rdbuf();
     return protocol::parse_settings(text.str());
@@ -103,8 +103,8 @@
                to_string(settings.listen));
   if (settings.cancel_timeout <= settings.worker_lease + 3 * constants::lease_margin)
     spdlog::warn(
-        "cancel timeout too short cancel_s={} lease_s={}: a leader cut off from the state service "
-        "stops responding to workers at once",
+        "cancel timeout too short cancel_s={} lease_s={}: a leader that cannot reach the state "
+        "service stops responding to workers at once",
         settings.cancel_timeout.count(), settings.worker_lease.count());
 }
 
@@ -155,8 +155,8 @@
   app.add_option("--config", options.settings_path, "settings file of the platform (JSON)")
       ->required();
   app.add_option("--properties", options.properties_path,
-                 "operators' own settings (Java properties)");
-  app.add_flag("--check", options.check_only, "check settings and properties, then exit");
+                 "tuning parameters of the operators (Java properties)");
+  app.add_flag("--check", options.check_only, "validate the settings and properties, then exit");
   app.set_version_flag("--version", std::string("poppystile ") + POPPYSTILE_VERSION);
   try {
     app.parse(argc, argv);
--- a/src/protocol/properties.cpp
+++ b/src/protocol/properties.cpp
@@ -74,7 +74,7 @@
 void apply(Properties& out, const std::string& key, const std::string& text) {
   const auto rule = property_rules().find(key);
   if (rule == property_rules().end())
-    throw DecodeError("unknown key " + key + ", the nearest is " + nearest_key(key));
+    throw DecodeError("unknown key " + key + ", the most similar known key is " + nearest_key(key));
   const auto& [min, max, set] = rule->second;
   double value = 0;
   const char* end = text.data() + text.size();
@@ -91,7 +91,7 @@
   Properties out;
   if (path.empty()) return out;
   std::ifstream file(path);
-  if (!file) throw DecodeError("cannot be read");
+  if (!file) throw DecodeError("cannot open the properties file for reading");
   log4cplus::helpers::Properties read(file);
   for (const auto& key : read.propertyNames()) apply(out, key, read.getProperty(key));
   return out;
--- a/src/protocol/settings.cpp
+++ b/src/protocol/settings.cpp
@@ -138,28 +138,29 @@
   // A leader that cannot reach the state service must stop responding to workers early enough that
   // their leases expire before the cancel timeout ends.
   if (out.worker_lease >= out.cancel_timeout)
-    throw DecodeError::expected(
-        lease_field, "less than cancel_s, got " + std::to_string(out.worker_lease.count()));
+    throw DecodeError::expected(lease_field, "less than cancel_s (both in seconds), got " +
+                                                 std::to_string(out.worker_lease.count()));
   if (out.heartbeat_interval >= out.worker_lease)
-    throw DecodeError::expected(
-        heartbeat_interval_field,
-        "less than lease_s, got " + std::to_string(out.heartbeat_interval.count()));
+    throw DecodeError::expected(heartbeat_interval_field,
+                                "less than lease_s (both in seconds), got " +
+                                    std::to_string(out.heartbeat_interval.count()));
   // Writing a job's final record takes two changes, since it also deletes the job's record.
   if (out.state_limits.txn_ops < constants::min_txn_ops)
     throw DecodeError::expected(max_changes_field,
                                 "at least " + std::to_string(constants::min_txn_ops));
   const auto least = constants::min_own_sockets + 2 * out.peers.size() + 1;
   if (out.sockets < static_cast<double>(least))
-    throw DecodeError::expected(
-        sockets_field, "at least " + std::to_string(least) +
-                           " for the calls to other services, the siblings and one worker");
+    throw DecodeError::expected(sockets_field,
+                                "at least " + std::to_string(least) +
+                                    " sockets for calls to other services, connections to the "
+                                    "siblings and one worker");
 }
 
 // The list is optional; objectives of other kinds are ignored.
 void parse_objectives(const Json& given, Settings& out) {
   if (find(given, objectives_field) == nullptr) return;
   for (const Json& item : need_list(given, objectives_field)) {
-    if (!item.is_object()) throw DecodeError::expected(objectives_field, "objects");
+    if (!item.is_object()) throw DecodeError::expected(objectives_field, "a list of objects");
     if (need_text(item, "kind") != "finished") continue;
     out.finish_aims.push_back({need_text(item, "class"), need_positive_seconds(item, "within_s")});
   }
--- a/src/transport/http_server.cpp
+++ b/src/transport/http_server.cpp
@@ -162,8 +162,8 @@
       has_priority_(std::move(has_priority)),
       handler_(std::move(handler)),
       max_connections_(max_connections),
-      listener_(loop, listen, static_cast<int>(max_connections), "requests", [this] { accept(); }) {
-}
+      listener_(loop, listen, static_cast<int>(max_connections), "HTTP requests",
+                [this] { accept(); }) {}
 
 HttpServer::~HttpServer() = default;
 
@@ -174,7 +174,8 @@
   // whose lease depends on it, so it is closed only if no other can be.
   const bool within_limit = open_connections_ <= max_connections_;
   if (!connection->open() || within_limit) return;
-  spdlog::debug("connection shed open={} max={}", open_connections_, max_connections_);
+  spdlog::debug("connection closed to stay within the limit open={} max={}", open_connections_,
+                max_connections_);
   evictable_.front()->close();
 }
 
--- a/src/transport/peer_connections.cpp
+++ b/src/transport/peer_connections.cpp
@@ -117,7 +117,7 @@
     while (received_.size() >= length_bytes) {
       const std::size_t size = read_length(received_);
       if (size > constants::max_peer_frame_bytes) {
-        spdlog::info("peer frame refused bytes={}", size);
+        spdlog::info("peer connection closed, frame above the size limit bytes={}", size);
         return close();
       }
       if (received_.size() < length_bytes + size) return;
@@ -136,7 +136,8 @@
 
 PeerConnections::PeerConnections(EventLoop& loop, const Endpoint& listen,
                                  const std::vector<Endpoint>& peers)
-    : loop_(loop), listener_(loop, listen, listen_backlog, "peers", [this] { accept(); }) {
+    : loop_(loop),
+      listener_(loop, listen, listen_backlog, "connections of peers", [this] { accept(); }) {
   for (const auto& each : peers) outgoing_.push_back(std::make_unique<Outgoing>(loop, each));
 }
 
