--- a/src/protocol/peer_messages.hpp
+++ b/src/protocol/peer_messages.hpp
@@ -36,8 +36,8 @@
   /// Ids of jobs that are cancelled and have no final record yet, as far as the sender has seen; at
   /// most as many as fit into a frame.
   std::vector<std::string> cancelled;
-  /// Whether `cancelled` is complete. If it is not, a receiver must not conclude from the status
-  /// that the sender has seen a cancellation.
+  /// Whether `cancelled` is complete. If it is not, a job that is absent from it may be cancelled
+  /// all the same.
   bool all_cancelled = true;
 };
 
--- a/src/protocol/worker_messages.cpp
+++ b/src/protocol/worker_messages.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-// Half of the bytes allowed for a name, since journal entries store other values in addition to the
-// machine's name.
+// Half of the bytes that a name in a journal entry may have; the other half is for the values that
+// are stored next to the machine's name.
 constexpr std::size_t max_machine_name_bytes = constants::max_name_bytes / 2;
 
 // Fields that only heartbeats have.
@@ -30,8 +30,7 @@
 constexpr const char* grace_field = "wind_down_s";
 constexpr const char* leader_field = "foreman";
 
-/// The enumerator for `wire_value`, or `fallback` for a value that this version does not
-/// support.
+/// The enumerator for `wire_value`, or `fallback` for a value that this version does not support.
 template <typename Enum>
 Enum value_or(const std::map<std::string, Enum>& wire_values, const std::string& wire_value,
               Enum fallback) {
--- a/src/transport/event_loop.hpp
+++ b/src/transport/event_loop.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Clocks and timers behind an interface, so that tests run in simulated time; the libuv event
-/// loop.
+/// Clocks and timers behind an interface, so that tests can run in simulated time, and their
+/// implementation with libuv.
 #pragma once
 
 #include <uv.h>
--- a/src/transport/http_client.cpp
+++ b/src/transport/http_client.cpp
@@ -28,8 +28,7 @@
 
 }  // namespace
 
-/// One call, shared by its timeout timer and its connection. The first of them to finish settles
-/// it.
+/// One call, shared by its timeout timer and its connection; the first one to finish settles it.
 struct HttpClient::Exchange {
   HttpRequest request;
   std::function<void(HttpResponse)> done;
--- a/src/transport/peer_connections.cpp
+++ b/src/transport/peer_connections.cpp
@@ -13,8 +13,7 @@
 
 namespace {
 
-// Each frame is preceded by its length in bytes, encoded in this many bytes, most significant
-// first.
+// Size of the length that precedes each frame: a number of bytes, most significant byte first.
 constexpr std::size_t length_bytes = 4;
 constexpr int bits_per_byte = 8;
 
--- a/tests/settings_check.sh
+++ b/tests/settings_check.sh
@@ -47,7 +47,7 @@
 sed 's/"sockets":600/"sockets":600,"core_share":0/' "$dir/good.json" > "$dir/bad.json"
 expect_rejection 'core_share: expected a number above 0' --config "$dir/bad.json"
 # Usage: write_settings_with_next VALUE FILE
-# Writes the valid settings to FILE, with VALUE as `next`, the announced limits of the state service.
+# Writes the valid settings to FILE, with VALUE as `next`, the state service's announced limits.
 write_settings_with_next() {
   sed "s/\"txn_ops\":32/\"txn_ops\":32,\"next\":$1/" "$dir/good.json" > "$dir/$2"
 }
