--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -103,8 +103,8 @@
                to_string(settings.listen));
   if (settings.cancel_timeout <= settings.worker_lease + 3 * constants::lease_margin)
     spdlog::warn(
-        "cancel timeout too short cancel_s={} lease_s={}: a leader that cannot reach the state "
-        "service stops responding to workers at once",
+        "cancel timeout too short cancel_s={} lease_s={}: a leader cut off from the state service "
+        "stops responding to workers at once",
         settings.cancel_timeout.count(), settings.worker_lease.count());
 }
 
--- a/src/transport/event_loop.cpp
+++ b/src/transport/event_loop.cpp
@@ -40,7 +40,7 @@
 }  // namespace
 
 EventLoop::EventLoop() {
-  if (uv_loop_init(&loop_) != 0) throw std::runtime_error("cannot initialize the libuv event loop");
+  if (uv_loop_init(&loop_) != 0) throw std::runtime_error("cannot start the libuv event loop");
 }
 
 EventLoop::~EventLoop() { uv_loop_close(&loop_); }
