--- a/src/protocol/settings.cpp
+++ b/src/protocol/settings.cpp
@@ -27,7 +27,7 @@
 
 namespace {
 
-// Fields that are read in more than one place, or named in a message.
+// Fields that are used in several places or named in an error message.
 constexpr const char* name_field = "member";
 constexpr const char* zone_field = "site";
 constexpr const char* heartbeat_interval_field = "report_s";
@@ -40,7 +40,8 @@
 constexpr const char* sockets_field = "sockets";
 constexpr const char* objectives_field = "objectives";
 
-// ms; the users' bound on the difference of two controllers' clocks, unless the settings give it.
+// Milliseconds; the bound on the difference between two controllers' clocks if the settings give
+// none.
 constexpr double default_clock_offset_ms = 100;
 
 transport::Endpoint need_endpoint(const Json& object, const char* name) {
@@ -63,22 +64,22 @@
   return Seconds{need_positive(object, name)};
 }
 
-double amount_or(const Json& object, const char* name, double otherwise) {
+double amount_or(const Json& object, const char* name, double fallback) {
   const Json* found = find(object, name);
-  return found == nullptr ? otherwise : as_amount(*found, name);
+  return found == nullptr ? fallback : as_amount(*found, name);
 }
 
-// Absent, or a number above 0.
-double positive_or(const Json& object, const char* name, double otherwise) {
-  return find(object, name) == nullptr ? otherwise : need_positive(object, name);
+// The field's number, which must be above 0, or `fallback` if the field is absent.
+double positive_or(const Json& object, const char* name, double fallback) {
+  return find(object, name) == nullptr ? fallback : need_positive(object, name);
 }
 
-TeamSettings parse_team(const Json& each) {
-  return {need_text(each, "name"), amount_or(each, "cpus", 0), amount_or(each, "cpus_max", 0),
-          amount_or(each, "gpus", 0), amount_or(each, "gpus_max", 0)};
+TeamSettings parse_team(const Json& item) {
+  return {need_text(item, "name"), amount_or(item, "cpus", 0), amount_or(item, "cpus_max", 0),
+          amount_or(item, "gpus", 0), amount_or(item, "gpus_max", 0)};
 }
 
-// Absent in the settings of deployments without gangs.
+// Returns nullopt if a timeout is absent, as in deployments without gangs.
 std::optional<GangTimes> parse_gang_times(const Json& workers) {
   const Seconds assembly{positive_or(workers, "gang_wait_s", 0)};
   const Seconds peer_loss{positive_or(workers, "gang_peer_s", 0)};
@@ -86,17 +87,17 @@
   return GangTimes{assembly, peer_loss};
 }
 
-// A name that is absent has the limit of `otherwise`.
-StateLimits state_limits_or(const Json& given, const StateLimits& otherwise) {
+// A limit that is absent in `given` is taken from `fallback`.
+StateLimits state_limits_or(const Json& given, const StateLimits& fallback) {
   StateLimits out;
-  out.rps = positive_or(given, rps_field, otherwise.rps);
-  out.write_rps = positive_or(given, write_rps_field, otherwise.write_rps);
-  out.value_kb = positive_or(given, value_size_field, otherwise.value_kb);
-  out.txn_ops = static_cast<int>(positive_or(given, max_changes_field, otherwise.txn_ops));
+  out.rps = positive_or(given, rps_field, fallback.rps);
+  out.write_rps = positive_or(given, write_rps_field, fallback.write_rps);
+  out.value_kb = positive_or(given, value_size_field, fallback.value_kb);
+  out.txn_ops = static_cast<int>(positive_or(given, max_changes_field, fallback.txn_ops));
   return out;
 }
 
-// `next` holds the limits that the service will have from some unannounced moment on.
+// The section `next` has limits to which the state service will change at an unannounced time.
 StateLimits parse_state_limits(const Json& state) {
   for (const char* name : {rps_field, write_rps_field, value_size_field, max_changes_field})
     need_positive(state, name);
@@ -119,7 +120,7 @@
 
 void parse_machine_limits(const Json& limits, Settings& out) {
   out.sockets = need_positive(limits, sockets_field);
-  // Not used, but checked where they are given.
+  // These fields are optional and not used, but must be valid if present.
   for (const char* name : {"core_share", "ram_mb"})
     if (find(limits, name) != nullptr) need_positive(limits, name);
 }
@@ -132,34 +133,36 @@
   out.max_clock_offset = Seconds{amount_or(given, "time_bound_ms", default_clock_offset_ms) / 1000};
 }
 
-// Rejects values that are valid alone and cannot work together.
+// Throws DecodeError for values that are valid alone but contradict one another.
 void check_consistency(const Settings& out) {
-  // A leader that is cut off must stop responding early enough for leases to expire by then.
+  // A leader that cannot reach the state service must stop responding to workers early enough that
+  // their leases expire before the cancel timeout ends.
   if (out.worker_lease >= out.cancel_timeout)
-    throw DecodeError::expected(
-        lease_field, "less than cancel_s, got " + std::to_string(out.worker_lease.count()));
+    throw DecodeError::expected(lease_field, "less than cancel_s (both in seconds), got " +
+                                                 std::to_string(out.worker_lease.count()));
   if (out.heartbeat_interval >= out.worker_lease)
-    throw DecodeError::expected(
-        heartbeat_interval_field,
-        "less than lease_s, got " + std::to_string(out.heartbeat_interval.count()));
-  // A final record takes two changes, since it replaces the job's record.
+    throw DecodeError::expected(heartbeat_interval_field,
+                                "less than lease_s (both in seconds), got " +
+                                    std::to_string(out.heartbeat_interval.count()));
+  // Writing a job's final record takes two changes, since it also deletes the job's record.
   if (out.state_limits.txn_ops < constants::min_txn_ops)
     throw DecodeError::expected(max_changes_field,
                                 "at least " + std::to_string(constants::min_txn_ops));
   const auto least = constants::min_own_sockets + 2 * out.peers.size() + 1;
   if (out.sockets < static_cast<double>(least))
-    throw DecodeError::expected(
-        sockets_field, "at least " + std::to_string(least) +
-                           " for the calls to other services, the siblings and one worker");
+    throw DecodeError::expected(sockets_field,
+                                "at least " + std::to_string(least) +
+                                    " sockets for calls to other services, connections to the "
+                                    "siblings and one worker");
 }
 
-// The list is optional, and aims of other kinds are not used.
+// The list is optional; objectives of other kinds are ignored.
 void parse_objectives(const Json& given, Settings& out) {
   if (find(given, objectives_field) == nullptr) return;
-  for (const Json& each : need_list(given, objectives_field)) {
-    if (!each.is_object()) throw DecodeError::expected(objectives_field, "objects");
-    if (need_text(each, "kind") != "finished") continue;
-    out.finish_aims.push_back({need_text(each, "class"), need_positive_seconds(each, "within_s")});
+  for (const Json& item : need_list(given, objectives_field)) {
+    if (!item.is_object()) throw DecodeError::expected(objectives_field, "a list of objects");
+    if (need_text(item, "kind") != "finished") continue;
+    out.finish_aims.push_back({need_text(item, "class"), need_positive_seconds(item, "within_s")});
   }
 }
 
@@ -168,9 +171,9 @@
   out.zone = need_text(root, zone_field);
   out.listen = need_endpoint(root, "bind");
   out.peer_listen = need_endpoint(root, "peer_bind");
-  for (const Json& each : need_list(root, "siblings"))
-    out.peers.push_back({need_text(each, name_field), need_text(each, zone_field),
-                         need_endpoint(each, "peer_addr")});
+  for (const Json& item : need_list(root, "siblings"))
+    out.peers.push_back({need_text(item, name_field), need_text(item, zone_field),
+                         need_endpoint(item, "peer_addr")});
   const Json& services = need_section(root, "services");
   out.cloud = need_endpoint(services, "cloud");
   out.state = need_endpoint(services, "state");
@@ -188,7 +191,7 @@
   parse_addresses(root, out);
   const Json& given = need_section(root, "settings");
   out.zones = need_texts(given, "zones");
-  for (const Json& each : need_list(given, "teams")) out.teams.push_back(parse_team(each));
+  for (const Json& item : need_list(given, "teams")) out.teams.push_back(parse_team(item));
   parse_limits(given, out);
   check_consistency(out);
   parse_objectives(given, out);
--- a/src/protocol/submission.cpp
+++ b/src/protocol/submission.cpp
@@ -13,10 +13,10 @@
 
 constexpr std::string_view id_prefix = "req-";
 
-// CPUs, GPUs or GB; keeps sums over all tasks of a job far below the largest integer.
+// CPUs, GPUs or GB; keeps the sum over all tasks of a job far below the largest 64-bit integer.
 constexpr double max_task_amount = 1e9;
 
-// Fields of a submission alone.
+// Fields that only submissions have.
 constexpr const char* job_class_field = "lane";
 constexpr const char* team_field = "crew";
 constexpr const char* priority_field = "rank";
@@ -29,18 +29,22 @@
 constexpr const char* checkpoint_save_time_field = "mark_cost_s";
 constexpr const char* deadline_field = "due_s";
 
-// In the order of the enumerators.
-constexpr std::array<const char*, 3> kind_words = {"sweep", "standing", "gang"};
-constexpr std::array<const char*, 4> priority_words = {"idle", "normal", "high", "production"};
+// Wire values in the order of the enumerators.
+constexpr std::array<const char*, 3> kind_values = {"sweep", "standing", "gang"};
+constexpr std::array<const char*, 4> priority_values = {"idle", "normal", "high", "production"};
 
+/// Reads an enumerator by its wire value; `wire_values` lists the wire values in the order of
+/// `Enum`.
 template <typename Enum, std::size_t count>
-Enum need_enum(const Json& body, const char* name, const std::array<const char*, count>& words) {
-  const std::string word = need_text(body, name);
-  const auto found = std::find(words.begin(), words.end(), word);
-  if (found == words.end()) throw DecodeError(name, "is unknown");
-  return static_cast<Enum>(found - words.begin());
+Enum need_enum(const Json& body, const char* name,
+               const std::array<const char*, count>& wire_values) {
+  const std::string wire_value = need_text(body, name);
+  const auto found = std::find(wire_values.begin(), wire_values.end(), wire_value);
+  if (found == wire_values.end()) throw DecodeError(name, "is unknown");
+  return static_cast<Enum>(found - wire_values.begin());
 }
 
+/// Reads a text of 1 to `constants::max_name_bytes` bytes.
 std::string need_name(const Json& body, const char* name) {
   std::string text = need_text(body, name);
   if (text.empty() || text.size() > constants::max_name_bytes)
@@ -60,6 +64,7 @@
   return static_cast<std::uint32_t>(tasks);
 }
 
+/// Reads the resources of one task, which must include some CPU.
 Resources need_task_resources(const Json& body) {
   const Resources each = parse_resources(body, max_task_amount);
   if (each.cpus <= 0) throw DecodeError(wire::cpus, "out of range");
@@ -80,8 +85,8 @@
   job.id = need_job_id(body);
   job.job_class = need_name(body, job_class_field);
   job.team = need_name(body, team_field);
-  job.kind = need_enum<JobKind>(body, wire::job_kind, kind_words);
-  job.priority = need_enum<Priority>(body, priority_field, priority_words);
+  job.kind = need_enum<JobKind>(body, wire::job_kind, kind_values);
+  job.priority = need_enum<Priority>(body, priority_field, priority_values);
   job.tasks = need_task_count(body);
   job.each = need_task_resources(body);
   if (find(body, wire::machine_types) != nullptr) job.types = need_texts(body, wire::machine_types);
@@ -102,8 +107,8 @@
   Json out = {{wire::job_id, job.id},
               {job_class_field, job.job_class},
               {team_field, job.team},
-              {wire::job_kind, kind_words.at(static_cast<std::size_t>(job.kind))},
-              {priority_field, priority_words.at(static_cast<std::size_t>(job.priority))},
+              {wire::job_kind, kind_values.at(static_cast<std::size_t>(job.kind))},
+              {priority_field, priority_values.at(static_cast<std::size_t>(job.priority))},
               {wire::tasks, job.tasks},
               {one_zone_field, job.one_zone},
               {spread_field, job.spread},
--- a/tests/unit/peer_messages_test.cpp
+++ b/tests/unit/peer_messages_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The status that controllers send one another.
+/// Encoding and decoding of the status that controllers send one another.
 #include "protocol/peer_messages.hpp"
 
 #include <gtest/gtest.h>
@@ -14,7 +14,7 @@
 
 using samples::peer_status;
 
-TEST(PeerMessagesTest, DecodesWhatItEncodesAndRefusesGarbage) {
+TEST(PeerMessagesTest, DecodesItsEncodingAndRejectsMalformedFrames) {
   protocol::PeerStatus status = peer_status();
   status.fresh_as_of_wall = wall_at(1.5e9);
   status.all_cancelled = false;
@@ -34,9 +34,9 @@
   EXPECT_FALSE(protocol::decode_peer_status("\x81\x01").has_value());
 }
 
-// A head that claims billions of items once blocked the process for seconds while room for them
-// was set aside.
-TEST(PeerMessagesTest, RefusesHugeArraySizesAtOnce) {
+// A head that declares billions of items blocked the process for seconds, while memory for the
+// items was allocated.
+TEST(PeerMessagesTest, RejectsHugeArraySizesWithoutAllocation) {
   EXPECT_FALSE(
       protocol::decode_peer_status(std::string("\x9b\x00\x00\x00\x7f\xff\xff\xff\xff\x01", 10))
           .has_value());
