--- a/src/coordination/journal/journal_reader.hpp
+++ b/src/coordination/journal/journal_reader.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Loads the journal that previous leaders wrote to the state service.
+/// Loads the journal that former leaders wrote to the state service.
 #pragma once
 
 #include <cstdint>
--- a/src/coordination/journal/journal_writer.cpp
+++ b/src/coordination/journal/journal_writer.cpp
@@ -48,8 +48,8 @@
       return done(std::nullopt);
     }
     versions_ = std::move(result->versions);
-    // The head does not contain the size of the segments, so half of the bytes after which a
-    // snapshot is due are assumed. The next snapshot resets the size.
+    // The head does not contain the size of the segments, so half of the smallest size at which a
+    // snapshot is due is assumed. The next snapshot resets the size.
     const std::size_t segment_bytes =
         result->is_empty ? 0 : constants::min_journal_bytes_before_snapshot / 2;
     open(result->head, result->next_segment, segment_bytes);
--- a/src/coordination/journal/journal_writer.hpp
+++ b/src/coordination/journal/journal_writer.hpp
@@ -33,7 +33,7 @@
   JournalWriter(transport::Runtime& runtime, KeyValueClient& key_value_client,
                 LeaderElection& election, const protocol::Settings& settings);
 
-  /// Begins a term: reads the journal of previous leaders and calls `done` with the state that its
+  /// Begins a term: reads the journal of former leaders and calls `done` with the state that its
   /// replay produces, or with `nullopt` if the journal cannot be decoded. In that case `reset` must
   /// be called, and nothing is written before it is done.
   void load(std::function<void(std::optional<storage::ReplayedState>)> done);
--- a/src/coordination/leader/failover_recovery.cpp
+++ b/src/coordination/leader/failover_recovery.cpp
@@ -57,10 +57,13 @@
   }));
 }
 
-// A former leader stops responding to workers early enough that the worker leases it kept alive
-// expire within `cancel_timeout` of its last renewal of the leader lease
-// (Controller::may_respond_until). No controller renews worker leases now, so no task runs after
-// that time.
+// A former leader responds to a worker only if the lease that the response extends expires within
+// `cancel_timeout` of the time up to which that leader has every cancellation, or of its own
+// election while it had not replayed the journal (Controller::may_respond_until). This time is not
+// later than this controller's election: a former leader whose shared state or peer statuses
+// include the election steps down. Responses that this controller has sent since then extend leases
+// by `worker_lease` only, which is shorter. From now on no controller extends a worker lease, since
+// this one rejects heartbeats and the others redirect them. So no task runs after the wait.
 void FailoverRecovery::wait_for_lease_expiry() {
   spdlog::error("journal unreadable, waiting for all worker leases to expire seconds={}",
                 settings_.cancel_timeout.count());
--- a/src/coordination/leader/failover_recovery.hpp
+++ b/src/coordination/leader/failover_recovery.hpp
@@ -37,7 +37,8 @@
   void end_term();
 
   /// Whether the journal is unreadable, so that any task may still run on any machine, and this
-  /// controller waits for all worker leases to expire. No heartbeat may be answered until then.
+  /// controller waits for all worker leases to expire. Every heartbeat must be rejected until then,
+  /// since a normal response would extend a lease.
   bool is_waiting_for_lease_expiry() const { return is_waiting_for_lease_expiry_; }
 
  private:
--- a/src/coordination/leader/gang_tracker.hpp
+++ b/src/coordination/leader/gang_tracker.hpp
@@ -30,7 +30,8 @@
   /// Applies a task state from a heartbeat: the attempt starts with the first task that runs.
   static void on_reported(cluster::Job& gang, protocol::TaskState state, SteadyTime now);
   /// Handles a task that was proven to be off `machine` without having completed, and has already
-  /// been requeued. Abandons a running attempt; ends the attempt if no placement remains.
+  /// been requeued. Ends the attempt if no placement remains, and abandons it if it is running.
+  /// Otherwise records the time and the machine, which restrict where the task is placed again.
   static void on_task_lost(cluster::Job& gang, const std::string& machine, SteadyTime now);
 
   /// Stops all tasks together, with time to save. Abandons an attempt that has not started.
--- a/src/coordination/leader/heartbeat_handler.cpp
+++ b/src/coordination/leader/heartbeat_handler.cpp
@@ -100,9 +100,9 @@
   machine.has_acknowledged_token = has_acknowledged_token;
 }
 
-// Stops the tasks of a machine that will be preempted early enough that they are proven to be off
-// it before it disappears. Services are stopped at once: they lose no progress, and so start sooner
-// on another machine.
+// Stops the tasks of a machine that will be preempted, early enough that they are proven to be off
+// the machine before it disappears. Services are stopped at once: they lose no progress, and so
+// start sooner on another machine.
 void HeartbeatHandler::prepare_for_preemption(Machine& machine, Seconds time_left) {
   if (!std::exchange(machine.preemption_noticed, true)) {
     spdlog::info("machine preemption notice id={} in_s={}", machine.id, time_left.count());
--- a/src/coordination/leader/heartbeat_responder.hpp
+++ b/src/coordination/leader/heartbeat_responder.hpp
@@ -28,10 +28,11 @@
                      const LeaderElection& election, const JournalWriter& journal)
       : runtime_(runtime), cluster_state_(cluster_state), election_(election), journal_(journal) {}
 
-  /// Responds to a processed heartbeat with `commands` and all start commands that may be sent by
-  /// then. Holds the response for at most `max_response_hold` if a start for the machine waits for
-  /// the journal, or if `expects_placements` is set because the next plan may place tasks on the
-  /// machine. Drops a response still held for the machine, since its worker no longer waits for it.
+  /// Responds to a processed heartbeat with `commands` and all start commands that may be sent when
+  /// the response is sent. If the worker has acknowledged this leader's token, holds the response
+  /// for at most `max_response_hold` while a start for the machine waits for the journal, or while
+  /// `expects_placements` is set because the next plan may place tasks on the machine. Drops a
+  /// response still held for the machine, since its worker no longer waits for it.
   void respond(cluster::Machine& machine, const protocol::Heartbeat& heartbeat,
                std::vector<protocol::Command> commands, bool expects_placements,
                transport::Respond respond);
@@ -46,7 +47,8 @@
   /// Drops the response held for a machine, because the machine is removed.
   void drop(const std::string& machine) { pending_.erase(machine); }
 
-  /// Answers all held responses with a redirect that names no leader, because the term has ended.
+  /// Sends a redirect that names no leader instead of each held response, because the term has
+  /// ended.
   void redirect_all();
 
   bool has_pending() const { return !pending_.empty(); }
--- a/src/coordination/leader/leader.cpp
+++ b/src/coordination/leader/leader.cpp
@@ -92,7 +92,7 @@
     respond({200, protocol::encode_commands(election_.token(), {})});
   };
   if (heartbeat.token > election_.token()) {
-    election_.step_down("a worker reported a higher token");
+    election_.step_down("a worker reported a higher fencing token");
     return respond({421, protocol::encode_redirect("")});
   }
   if (recovery_.is_waiting_for_lease_expiry())
--- a/src/coordination/leader/lease_monitor.cpp
+++ b/src/coordination/leader/lease_monitor.cpp
@@ -30,9 +30,10 @@
   }
 }
 
-// A deposed leader stops renewing worker leases early enough that each expires within
-// `cancel_timeout` of that leader's last renewal of the leader lease
-// (Controller::may_respond_until). That renewal preceded this controller's election.
+// Evicts the tasks of a machine that has sent this leader no heartbeat, once every lease that a
+// former leader extended has expired: within `cancel_timeout` of this controller's election, as
+// explained at FailoverRecovery::wait_for_lease_expiry. `elected_at` is the start of the campaign;
+// the lease margins here and in CancellationTracker::response_budget cover its duration.
 void LeaseMonitor::evict_if_former_leases_expired(Machine& machine) {
   const SteadyTime former_leases_expire_at =
       election_.elected_at() + with_clock_drift(settings_.cancel_timeout);
--- a/src/coordination/leader/machine_health.cpp
+++ b/src/coordination/leader/machine_health.cpp
@@ -77,7 +77,8 @@
   record_machine_failure(machine, placement.job);
 }
 
-// A job that has finished tasks is taken to be faultless, however many machines it failed on.
+// Finished tasks prove that a job can run, so it is at fault only if none of its tasks has finished
+// and it failed on at least two machines, or if the cause is `ExitCause::unknown`.
 bool MachineHealth::is_job_at_fault(const Job& job, ExitCause cause) {
   return (job.finished == 0 && job.failed_machines.size() >= 2) || cause == ExitCause::unknown;
 }
--- a/src/coordination/leader/task_reconciler.hpp
+++ b/src/coordination/leader/task_reconciler.hpp
@@ -39,8 +39,8 @@
                       const protocol::ReportedTask& reported);
   void change_phase(cluster::Machine& machine, cluster::Placement& placement, cluster::Job* job,
                     cluster::PlacementPhase phase);
-  /// Whether a task runs for more than twice as long as the longest failed run of its job, with one
-  /// heartbeat interval added to that run.
+  /// Whether a task has been running for more than twice the sum of the heartbeat interval and the
+  /// longest failed run of its job; false if the job has no failures.
   bool has_outlived_failures(const cluster::Placement& placement, const cluster::Job& job) const;
   void on_exited(cluster::Machine& machine, cluster::Placement& placement,
                  protocol::ExitCause cause);
--- a/src/coordination/peers/cancellation_tracker.cpp
+++ b/src/coordination/peers/cancellation_tracker.cpp
@@ -12,8 +12,9 @@
   status.fresh_as_of_wall = shared_state_.fresh_as_of_wall();
   for (const auto& id : shared_state_.cancelled()) {
     if (status.cancelled.size() == constants::max_advertised_cancellations) {
-      // Peers do not rely on an incomplete status: a leader may then extend worker leases only as
-      // long as some controller receives responses of the state service.
+      // Peers ignore the confirmations of an incomplete status. A leader that receives no complete
+      // status may extend worker leases only while the state service keeps its own shared state
+      // fresh.
       spdlog::error("peer status incomplete, too many cancelled jobs limit={}",
                     constants::max_advertised_cancellations);
       status.all_cancelled = false;
--- a/src/coordination/peers/cancellation_tracker.hpp
+++ b/src/coordination/peers/cancellation_tracker.hpp
@@ -18,8 +18,9 @@
 ///
 /// A controller confirms a cancellation to a user only once its own shared state includes it.
 /// Therefore this controller has every cancellation confirmed before a time T if
-/// - its own shared state, or that of a peer which has advertised its cancellations to it, includes
-///   everything committed before T, or
+/// - its own shared state, or that of a peer from which it has received a complete list of
+/// cancelled
+///   jobs, includes everything committed before T, or
 /// - each peer has advertised, at T or later, all cancellations that it confirmed to users. This
 ///   also works in an outage of the state service, when nothing can be read.
 class CancellationTracker {
@@ -66,8 +67,8 @@
   const protocol::Settings& settings_;
   SharedStateCache& shared_state_;
   std::map<std::string, PeerConfirmation> confirmations_;  // Keyed by the peer's name.
-  // The newest shared state of any peer that has advertised its cancellations includes everything
-  // committed before this time.
+  // The newest shared state of any peer that has sent a complete list of cancelled jobs includes
+  // everything committed before this time.
   SteadyTime peers_fresh_as_of_;
 };
 
--- a/tests/unit/cancellation_tracker_test.cpp
+++ b/tests/unit/cancellation_tracker_test.cpp
@@ -1,5 +1,5 @@
-// The time up to which all cancellations are known, and how long after it a leader may keep worker
-// leases alive.
+// The time up to which a controller has every cancellation, and how long after it a leader may keep
+// worker leases alive.
 #include "coordination/peers/cancellation_tracker.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/unit/gang_test.cpp
+++ b/tests/unit/gang_test.cpp
@@ -72,8 +72,8 @@
 };
 
 TEST_F(GangTest, LostTaskIsReplacedOnAnotherMachineInTheSameAttempt) {
-  // The third machine has room for one task only, no more than the machine that loses its task will
-  // have, so the planner has no other reason to prefer it.
+  // The third machine has capacity for one task only. The machine that loses its task then has as
+  // much free capacity, so the planner has no other reason to prefer the third one.
   add(cluster_state, "a1", 4).last_heartbeat_at = steady_at(5);
   add(cluster_state, "a2", 4).last_heartbeat_at = steady_at(5);
   add(cluster_state, "a3", 2).last_heartbeat_at = steady_at(5);
--- a/tests/unit/journal_writer_test.cpp
+++ b/tests/unit/journal_writer_test.cpp
@@ -100,7 +100,7 @@
 TEST_F(JournalWriterTest, EverySuccessorReadsDurableEntriesAndContinuesWriting) {
   std::mt19937_64 random(3);
   std::uint64_t append_count = 0;
-  std::map<std::string, std::uint64_t> durable;  // incarnation by machine
+  std::map<std::string, std::uint64_t> durable;  // Newest durable incarnation by machine id.
   for (int round = 0; round < 25; ++round) {
     LeaderProcess& leader = begin(round % 3 == 2 ? 0.05 : 0);
     ASSERT_TRUE(leader.loaded && leader.readable) << "round " << round;
@@ -129,7 +129,7 @@
   }
 }
 
-// A transaction of a previous leader arrives after a takeover and writes a key that its successor
+// A transaction of a former leader arrives after a takeover and writes a key that its successor
 // has not written yet. Without the condition on the leader key it would be executed, and the
 // successor would have to step down.
 TEST_F(JournalWriterTest, DelayedTransactionOfAPreviousLeaderChangesNothing) {
