--- a/tests/unit/journal_writer_test.cpp
+++ b/tests/unit/journal_writer_test.cpp
@@ -132,11 +132,11 @@
 // A transaction of a former leader arrives after a takeover and writes a key that its successor
 // has not written yet. Without the condition on the leader key it would be executed, and the
 // successor would have to step down.
-TEST_F(JournalWriterTest, DelayedTransactionOfAPreviousLeaderChangesNothing) {
-  LeaderProcess& previous_leader = begin();
-  previous_leader.journal_write_delay = Seconds{12};
-  previous_leader.append(storage::MachineRegistered{"n-1", "g", "a", false, 0, wall_at(0)});
-  previous_leader.journal->pump();
+TEST_F(JournalWriterTest, DelayedTransactionOfAFormerLeaderChangesNothing) {
+  LeaderProcess& former_leader = begin();
+  former_leader.journal_write_delay = Seconds{12};
+  former_leader.append(storage::MachineRegistered{"n-1", "g", "a", false, 0, wall_at(0)});
+  former_leader.journal->pump();
   LeaderProcess& leader = begin();
   ASSERT_TRUE(leader.loaded);
   EXPECT_FALSE(leader.replayed.machines.contains("n-1"));
