--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -149,9 +149,10 @@
   return cancellations_.may_respond_until();
 }
 
-// Whether the health check reports that users can send requests to this controller. It fails only
-// if this controller alone has lost the state service. In an outage of the service no controller
-// is a better choice, and one marked as unhealthy would stay so beyond the end of the outage.
+// Whether the health check reports that users can send requests to this controller. It fails until
+// the shared state is loaded, and while this controller has lost the state service but a peer
+// reaches it. In an outage of the service no controller is a better choice, and one marked as
+// unhealthy would stay so beyond the end of the outage.
 bool Controller::accepts_requests() const {
   if (!shared_state_.loaded()) return false;
   if (runtime_.now() - key_value_client_.last_contact() < constants::state_contact_stale_after)
--- a/src/coordination/leader/lease_monitor.cpp
+++ b/src/coordination/leader/lease_monitor.cpp
@@ -30,10 +30,12 @@
   }
 }
 
-// Evicts the tasks of a machine that has sent this leader no heartbeat, once every lease that a
-// former leader extended has expired: within `cancel_timeout` of this controller's election, as
-// explained at FailoverRecovery::wait_for_lease_expiry. `elected_at` is the start of the campaign;
-// the lease margins here and in CancellationTracker::response_budget cover its duration.
+// Evicts the tasks of a machine that this leader has neither received a heartbeat from nor
+// responded to, once every lease that a former leader extended has expired. That is within
+// `cancel_timeout` of this controller's election, for the reason given at
+// FailoverRecovery::wait_for_lease_expiry. `elected_at` is the start of the campaign; the lease
+// margins here and in CancellationTracker::response_budget are together longer than a campaign,
+// which the timeouts of its calls limit.
 void LeaseMonitor::evict_if_former_leases_expired(Machine& machine) {
   const SteadyTime former_leases_expire_at =
       election_.elected_at() + with_clock_drift(settings_.cancel_timeout);
--- a/src/coordination/peers/cancellation_tracker.hpp
+++ b/src/coordination/peers/cancellation_tracker.hpp
@@ -19,8 +19,7 @@
 /// A controller confirms a cancellation to a user only once its own shared state includes it.
 /// Therefore this controller has every cancellation confirmed before a time T if
 /// - its own shared state, or that of a peer from which it has received a complete list of
-/// cancelled
-///   jobs, includes everything committed before T, or
+///   cancelled jobs, includes everything committed before T, or
 /// - each peer has advertised, at T or later, all cancellations that it confirmed to users. This
 ///   also works in an outage of the state service, when nothing can be read.
 class CancellationTracker {
--- a/tests/unit/heartbeat_responder_test.cpp
+++ b/tests/unit/heartbeat_responder_test.cpp
@@ -32,7 +32,7 @@
   EXPECT_FALSE(responder.has_pending());
 }
 
-TEST_F(HeartbeatResponderTest, DurableStartGoesWithTheResponse) {
+TEST_F(HeartbeatResponderTest, DurableStartIsSentWithTheResponse) {
   Machine& machine = add_machine("a1");
   Job& job = add_job("req-1", JobKind::array, 1);
   const Placement& placement = place(machine, job);  // Log position 0 is durable.
