--- a/tests/simulation/cloud.cpp
+++ b/tests/simulation/cloud.cpp
@@ -18,7 +18,7 @@
   return type + "/" + zone + (spot ? "/spot" : "/ordinary");
 }
 
-Json encode(const RentedMachine& machine, double held_s) {
+Json encode(const RentedMachine& machine, double rented_for_s) {
   return {{"id", machine.id},
           {"addr", "10.1.0.1:9000"},
           {"build", machine.type},
@@ -27,7 +27,7 @@
           {"stage", machine.failed   ? "failed"
                     : machine.booted ? "running"
                                      : "booting"},
-          {"held_s", held_s}};
+          {"held_s", rented_for_s}};
 }
 }  // namespace
 
--- a/tests/simulation/controller_process.cpp
+++ b/tests/simulation/controller_process.cpp
@@ -70,7 +70,7 @@
 
 void ControllerProcess::heal() {
   partition_ = {};
-  for (auto& message : std::exchange(held_, {})) message();
+  for (auto& message : std::exchange(held_messages_, {})) message();
 }
 
 void ControllerProcess::deliver(std::function<void()> action) {
@@ -91,12 +91,12 @@
 }
 
 void ControllerProcess::after(Seconds delay, std::function<void()> action) {
-  const Seconds simulated = std::max(Seconds{0}, delay) / clock_rate_ + timer_granularity;
-  network_.queue.after(
-      simulated, [this, lifetime = std::weak_ptr<int>(lifetime_), action = std::move(action)] {
-        if (lifetime.expired()) return;
-        paused_ ? due_timers_.push_back(action) : action();
-      });
+  const Seconds simulated_delay = std::max(Seconds{0}, delay) / clock_rate_ + timer_granularity;
+  network_.queue.after(simulated_delay, [this, lifetime = std::weak_ptr<int>(lifetime_),
+                                         action = std::move(action)] {
+    if (lifetime.expired()) return;
+    paused_ ? due_timers_.push_back(action) : action();
+  });
 }
 
 void ControllerProcess::call(const Endpoint& to, HttpRequest request, Seconds timeout,
@@ -154,7 +154,7 @@
     execute(service, request, [this, service, is_watch, on_response](const HttpResponse& response) {
       return_response(service, is_watch, response, on_response);
     });
-    const Duplication& duplication = network_.faults.calls;
+    const Duplication& duplication = network_.faults.duplicated_calls;
     if (!network_.queue.chance(duplication.share)) return;
     network_.queue.after(network_.queue.uniform(duplication.min_delay, duplication.max_delay),
                          [this, service, request] { execute(service, request, ignore_response); });
@@ -168,13 +168,14 @@
   const NetworkFaults& faults = network_.faults;
   if (is_watch && (partition_.watches || partition_.reject_state_calls))
     return hold([on_response, response] { on_response(response); });
-  Seconds added{0};
+  Seconds added_delay{0};
   if (service == Service::state) {
     // Nothing crosses a partition, responses to calls made before it included.
     if (partition_.state_service || queue.chance(faults.lost_state_responses)) return;
-    if (queue.chance(faults.state_responses.share)) added = faults.state_responses.delay;
+    if (queue.chance(faults.delayed_state_responses.share))
+      added_delay = faults.delayed_state_responses.delay;
   }
-  queue.after(added + queue.uniform(min_latency, max_latency),
+  queue.after(added_delay + queue.uniform(min_latency, max_latency),
               [on_response, response] { on_response(response); });
 }
 
@@ -187,15 +188,15 @@
 void ControllerProcess::broadcast(const std::string& frame) {
   for (const auto& other : cluster_.processes()) {
     if (other.get() == this) continue;
-    const auto arrive = [to = other.get(), frame] {
+    const auto deliver_frame = [to = other.get(), frame] {
       to->deliver([to, frame] { to->receive_frame(frame); });
     };
     if (!partition_.peers && !other->partition_.peers) {
-      network_.queue.after(peer_latency + network_.faults.peer_message_delay, arrive);
+      network_.queue.after(peer_latency + network_.faults.peer_message_delay, deliver_frame);
       continue;
     }
     ControllerProcess& partitioned = partition_.peers ? *this : *other;
-    if (partitioned.partition_.deliver_on_heal) partitioned.hold(arrive);
+    if (partitioned.partition_.deliver_on_heal) partitioned.hold(deliver_frame);
   }
 }
 
--- a/tests/simulation/controller_process.hpp
+++ b/tests/simulation/controller_process.hpp
@@ -66,7 +66,7 @@
   /// Runs `action`, the arrival of a message, now or when the process resumes.
   void deliver(std::function<void()> action);
   /// Keeps `action`, the arrival of a message, until the partition heals.
-  void hold(std::function<void()> action) { held_.push_back(std::move(action)); }
+  void hold(std::function<void()> action) { held_messages_.push_back(std::move(action)); }
   /// Passes a request to the controller; dropped without a response if it is not running.
   void handle(const transport::HttpRequest& request, transport::Respond respond);
 
@@ -98,7 +98,7 @@
   double clock_rate_;    // of the steady clock, against simulated time
   Seconds wall_offset_;  // of the wall clock
   NetworkPartition partition_;
-  std::vector<std::function<void()>> held_;
+  std::vector<std::function<void()>> held_messages_;
   bool paused_ = false;
   std::vector<std::function<void()>> due_timers_, waiting_messages_;  // while paused
   std::uint64_t stale_releases_ = 0;
--- a/tests/simulation/fake_http_caller.hpp
+++ b/tests/simulation/fake_http_caller.hpp
@@ -27,8 +27,8 @@
 class FakeHttpCaller : public transport::Runtime, public transport::HttpCaller {
  public:
   /// This share of the responses is lost.
-  FakeHttpCaller(EventQueue& queue, StateService& service, double lost_responses)
-      : queue_(queue), service_(service), lost_responses_(lost_responses) {}
+  FakeHttpCaller(EventQueue& queue, StateService& service, double lost_response_share)
+      : queue_(queue), service_(service), lost_response_share_(lost_response_share) {}
 
   SteadyTime now() const override { return SteadyTime{Seconds{1000 + queue_.now()}}; }
   WallTime wall_now() const override { return WallTime{Seconds{1.7e9 + queue_.now()}}; }
@@ -53,7 +53,7 @@
       });
     const Seconds added = is_journal_write ? journal_write_delay : Seconds{0};
     queue_.after(added + queue_.uniform(min_latency, max_latency),
-                 [&queue = queue_, &service = service_, loss_share = lost_responses_,
+                 [&queue = queue_, &service = service_, loss_share = lost_response_share_,
                   delay = response_delay, request, settle] {
                    service.handle(request, [&queue, loss_share, delay,
                                             settle](const transport::HttpResponse& response) {
@@ -72,7 +72,7 @@
 
   EventQueue& queue_;
   StateService& service_;
-  double lost_responses_;
+  double lost_response_share_;
   std::shared_ptr<int> lifetime_ = std::make_shared<int>(0);
 };
 
--- a/tests/simulation/fault_injector.cpp
+++ b/tests/simulation/fault_injector.cpp
@@ -46,9 +46,9 @@
 }
 
 void FaultInjector::hang_machines(const std::set<std::string>& machines, Seconds duration) {
-  int left = max_hanging_machines;
+  int remaining = max_hanging_machines;
   for (const auto& machine : machines) {
-    if (left-- == 0) return;
+    if (remaining-- == 0) return;
     if (Worker* worker = fleet_.find(machine)) worker->hang(duration);
   }
 }
@@ -89,11 +89,11 @@
 }
 
 void FaultInjector::duplicate_heartbeats(const Duplication& duplication, Seconds duration) {
-  set_temporarily(queue_, network_.heartbeats, duplication, duration);
+  set_temporarily(queue_, network_.duplicated_heartbeats, duplication, duration);
 }
 
 void FaultInjector::delay_heartbeat_responses(const AddedLatency& latency, Seconds duration) {
-  set_temporarily(queue_, network_.heartbeat_responses, latency, duration);
+  set_temporarily(queue_, network_.delayed_heartbeat_responses, latency, duration);
 }
 
 void FaultInjector::state_outage(Seconds duration) {
@@ -110,7 +110,7 @@
 }
 
 void FaultInjector::delay_state_responses(const AddedLatency& latency, Seconds duration) {
-  set_temporarily(queue_, network_.state_responses, latency, duration);
+  set_temporarily(queue_, network_.delayed_state_responses, latency, duration);
 }
 
 void FaultInjector::lose_state_responses(double share, Seconds duration) {
@@ -118,7 +118,7 @@
 }
 
 void FaultInjector::duplicate_calls(const Duplication& duplication, Seconds duration) {
-  set_temporarily(queue_, network_.calls, duplication, duration);
+  set_temporarily(queue_, network_.duplicated_calls, duplication, duration);
 }
 
 void FaultInjector::cloud_outage(Seconds duration) {
@@ -131,10 +131,12 @@
   queue_.after(duration, [this] { cloud_.set_boot_failures(0); });
 }
 
-void FaultInjector::cancellation_confirmed(ControllerProcess& by) {
+void FaultInjector::cancellation_confirmed(ControllerProcess& confirming_controller) {
   if (!crash_on_cancellation_) return;
   const Seconds restart_after = *std::exchange(crash_on_cancellation_, std::nullopt);
-  queue_.after(crash_delay, [&by, restart_after] { by.crash(restart_after); });
+  queue_.after(crash_delay, [&confirming_controller, restart_after] {
+    confirming_controller.crash(restart_after);
+  });
 }
 
 bool FaultInjector::awaits_leader() const {
--- a/tests/simulation/fault_injector.hpp
+++ b/tests/simulation/fault_injector.hpp
@@ -73,7 +73,7 @@
   void boot_failures(double share, Seconds duration);
 
   /// To be called when a controller has confirmed a cancellation to a user.
-  void cancellation_confirmed(ControllerProcess& by);
+  void cancellation_confirmed(ControllerProcess& confirming_controller);
   /// Whether a fault waits for the next leader: then `check_for_leader` is to be called often.
   bool awaits_leader() const;
   /// Applies the faults that wait for the next leader, if there is one.
--- a/tests/simulation/gangs.cpp
+++ b/tests/simulation/gangs.cpp
@@ -33,8 +33,8 @@
   attempt.started_at = queue_.now();
   ++started_;
   for (auto& [index, member] : attempt.members) member.host->start_gang_task(member.run);
-  const double left_s = total_work_s(key.first) - saved_progress_s_[key.first];
-  queue_.after(Seconds{std::max(min_work_s, left_s)}, [this, key] { complete(key); });
+  const double remaining_work_s = total_work_s(key.first) - saved_progress_s_[key.first];
+  queue_.after(Seconds{std::max(min_work_s, remaining_work_s)}, [this, key] { complete(key); });
   check_hosts(key);
 }
 
@@ -63,8 +63,9 @@
 
 void Gangs::leave(const std::string& job, std::uint64_t attempt, std::uint32_t index) {
   const Key key{job, attempt};
-  Attempt& known = attempts_[key];
-  if (known.members.erase(index) > 0 && known.is_started && !known.is_ended) fail(key);
+  Attempt& attempt_state = attempts_[key];
+  if (attempt_state.members.erase(index) > 0 && attempt_state.is_started && !attempt_state.is_ended)
+    fail(key);
 }
 
 void Gangs::fail(const Key& key) {
@@ -79,33 +80,33 @@
                  [this, key, index = index] {
                    const auto found = attempts_[key].members.find(index);
                    if (found == attempts_[key].members.end()) return;
-                   const Member left = found->second;
-                   left.host->end_gang_task(left.run, "peers", false);
+                   const Member remaining_member = found->second;
+                   remaining_member.host->end_gang_task(remaining_member.run, "peers", false);
                  });
 }
 
 void Gangs::stop(const std::string& job, std::uint64_t attempt, std::uint32_t index,
                  Seconds grace) {
   const Key key{job, attempt};
-  Attempt& known = attempts_[key];
-  const auto found = known.members.find(index);
-  if (found == known.members.end()) return;
+  Attempt& attempt_state = attempts_[key];
+  const auto found = attempt_state.members.find(index);
+  if (found == attempt_state.members.end()) return;
   const protocol::JobSpec& spec = *invariants_.find_job(job);
   const Seconds save_time = spec.checkpoint_save_time;
-  if (!known.is_started || known.is_ended || spec.checkpoint_interval <= Seconds{0} ||
-      grace < save_time) {
+  if (!attempt_state.is_started || attempt_state.is_ended ||
+      spec.checkpoint_interval <= Seconds{0} || grace < save_time) {
     const Member member = found->second;
     return member.host->end_gang_task(member.run, "halted", false);
   }
   found->second.is_stopping = true;
-  if (known.stopped_at < 0) {
-    known.stopped_at = queue_.now();
+  if (attempt_state.stopped_at < 0) {
+    attempt_state.stopped_at = queue_.now();
     queue_.after(timing_.peer_timeout, [this, key] {
       const Attempt& now = attempts_[key];
       if (!now.is_ended && !all_stopping(now)) fail(key);
     });
   }
-  if (all_stopping(known)) queue_.after(save_time, [this, key] { save(key); });
+  if (all_stopping(attempt_state)) queue_.after(save_time, [this, key] { save(key); });
 }
 
 bool Gangs::all_stopping(const Attempt& attempt) {
--- a/tests/simulation/heartbeat_network.cpp
+++ b/tests/simulation/heartbeat_network.cpp
@@ -16,7 +16,7 @@
 
 void HeartbeatNetwork::send(const std::string& controller, const Worker& from,
                             const std::string& body, Worker::OnResponse on_response) {
-  if (queue_.chance(faults_.heartbeats.share)) duplicate(body);
+  if (queue_.chance(faults_.duplicated_heartbeats.share)) duplicate(body);
   ControllerProcess* to = cluster_.find(controller);
   if (to == nullptr) return;
   const std::string& isolated = faults_.isolated_zone;
@@ -31,7 +31,8 @@
 
 void HeartbeatNetwork::duplicate(const std::string& body) {
   ControllerProcess& to = cluster_.random();
-  queue_.after(queue_.uniform(faults_.heartbeats.min_delay, faults_.heartbeats.max_delay),
+  queue_.after(queue_.uniform(faults_.duplicated_heartbeats.min_delay,
+                              faults_.duplicated_heartbeats.max_delay),
                [&to, body] {
                  if (!to.partition().workers) to.handle(heartbeat_request(body), ignore_response);
                });
@@ -57,8 +58,8 @@
       if (response.body.find(R"("verb":"start")") != std::string::npos) ++lost_start_commands_;
       return;
     }
-    if (!queue_.chance(faults_.heartbeat_responses.share)) return on_response(response);
-    queue_.after(faults_.heartbeat_responses.delay,
+    if (!queue_.chance(faults_.delayed_heartbeat_responses.share)) return on_response(response);
+    queue_.after(faults_.delayed_heartbeat_responses.delay,
                  [on_response, response] { on_response(response); });
   };
 }
--- a/tests/simulation/invariant_checker.cpp
+++ b/tests/simulation/invariant_checker.cpp
@@ -159,7 +159,7 @@
   if (status != 200 && status != 201) return;
   if (!jobs_.contains(job)) return record_violation(Invariant::only_submitted_jobs, job);
   accepted_.insert(job);
-  last_answered_[job] = queue_.now();
+  last_answered_at_[job] = queue_.now();
   if (state == "done" && completed_[job].size() < jobs_.at(job).tasks)
     record_violation(Invariant::done_means_completed, job);
   if (done_.contains(job) && state != "done")
@@ -214,7 +214,7 @@
 }
 
 void InvariantChecker::check_final_service() {
-  check_answered();
+  check_queries_answered();
   std::map<std::string, std::vector<std::string>> groups;
   for (const auto& [job, spec] : jobs_) {
     if (cancelled_at_.contains(job) || queue_.now() - submitted_at_[job] < largest_start_s)
@@ -228,11 +228,11 @@
   }
 }
 
-void InvariantChecker::check_answered() {
+void InvariantChecker::check_queries_answered() {
   for (const auto& job : accepted_) {
     // Without a query no response is due.
-    const double since = std::max(last_answered_[job], faults_until_);
-    if (queried_[job] > since && queue_.now() - since > max_unanswered_s)
+    const double since = std::max(last_answered_at_[job], faults_until_);
+    if (last_queried_at_[job] > since && queue_.now() - since > max_unanswered_s)
       record_violation(Invariant::accepted_job_durable, job + " unanswered");
   }
 }
--- a/tests/simulation/invariant_checker.hpp
+++ b/tests/simulation/invariant_checker.hpp
@@ -79,7 +79,7 @@
 
   // Users' requests and the responses.
 
-  void record_query(const std::string& job) { queried_[job] = queue_.now(); }
+  void record_query(const std::string& job) { last_queried_at_[job] = queue_.now(); }
   /// `state`: of the job as the response says it; empty when the response has none.
   void record_response(const std::string& job, int status, const std::string& state,
                        RequestKind kind);
@@ -122,7 +122,7 @@
   void check_zones(const protocol::JobSpec& spec, std::uint32_t index, const HostMachine& host);
   void check_start_of_cancelled(const std::string& job, const std::string& task_on_machine);
   bool has_task_on_machine(const std::string& job) const;
-  void check_answered();
+  void check_queries_answered();
   void check_group_served(const std::string& name, const std::vector<std::string>& jobs);
   void check_largest_served(const std::string& name, std::vector<std::string> jobs);
 
@@ -140,9 +140,9 @@
   std::map<std::string, double> submitted_at_;
   std::map<std::string, double> first_started_at_;
   std::map<std::string, double> cancelled_at_;  // when the user got the confirmation
-  std::map<std::string, double> last_answered_;
-  std::map<std::string, double> queried_;        // newest query
-  std::map<std::string, double> waiting_since_;  // beside room
+  std::map<std::string, double> last_answered_at_;
+  std::map<std::string, double> last_queried_at_;  // newest query
+  std::map<std::string, double> waiting_since_;    // beside room
   std::function<void(const std::string&)> on_job_completed_;
   double faults_until_ = 0;
   std::vector<std::string> violations_;
--- a/tests/simulation/load_generator.cpp
+++ b/tests/simulation/load_generator.cpp
@@ -9,12 +9,12 @@
 
 constexpr double milli = 1000;        // in the sizes of tasks: millicores, megabytes
 constexpr int id_step = 7919;         // a prime, so that ids come in no order
-constexpr int ids = 1000000;          // an id has six digits
+constexpr int id_count = 1000000;     // an id has six digits
 constexpr double min_interval = 0.5;  // of the mean time between two submissions
 constexpr double max_interval = 1.5;
 
 // "5-40" or "12"
-double pick(EventQueue& queue, const std::string& range) {
+double sample_range(EventQueue& queue, const std::string& range) {
   const auto ends = split(range, '-');
   const double low = std::stod(ends.at(0));
   return ends.size() == 1 ? low : queue.uniform(low, std::stod(ends.at(1)));
@@ -37,16 +37,16 @@
 
 void LoadGenerator::schedule(const Statement& load) {
   EventQueue& queue = simulation_.queue();
-  const int first = load.count("first", 0);
+  const int initial_jobs = load.count("first", 0);
   const double from = load.number("from", 0.2);
-  for (int i = 0; i < first; ++i) queue.at(from, [this, load] { submit(load); });
-  const double every = load.number("every", 0);
+  for (int i = 0; i < initial_jobs; ++i) queue.at(from, [this, load] { submit(load); });
+  const double mean_interval_s = load.number("every", 0);
   const double until = load.number("until", until_);
-  if (every <= 0) return;
+  if (mean_interval_s <= 0) return;
   double next = from;
   while (next < until) {
     queue.at(next, [this, load] { submit(load); });
-    next += every * queue.uniform(min_interval, max_interval);
+    next += mean_interval_s * queue.uniform(min_interval, max_interval);
   }
 }
 
@@ -58,7 +58,7 @@
 
 std::string LoadGenerator::next_job_id() {
   char id[16];
-  std::snprintf(id, sizeof(id), "req-%06d", static_cast<int>(++jobs_ * id_step % ids));
+  std::snprintf(id, sizeof(id), "req-%06d", static_cast<int>(++job_count_ * id_step % id_count));
   return id;
 }
 
@@ -70,7 +70,7 @@
   job.team = load.text("team", "ops");
   job.kind = kind_of(load.text("kind", "array"));
   job.priority = priority_of(load.text("priority", "normal"));
-  job.tasks = static_cast<std::uint32_t>(pick(queue, load.text("tasks", "1")));
+  job.tasks = static_cast<std::uint32_t>(sample_range(queue, load.text("tasks", "1")));
   job.each = {static_cast<std::int64_t>(load.number("cpus", 2) * milli), 0,
               static_cast<std::int64_t>(load.number("memory", 2) * milli)};
   job.spot = load.flag("spot");
@@ -80,8 +80,8 @@
   const int images = load.count("images", 2);
   job.image = job.job_class + "-" + std::to_string(static_cast<int>(queue.uniform(0, images)));
   job.image_gb = load.number("image_gb", 2);
-  job.estimated_run_time =
-      Seconds{job.kind == protocol::JobKind::service ? 0 : pick(queue, load.text("run", "15"))};
+  job.estimated_run_time = Seconds{
+      job.kind == protocol::JobKind::service ? 0 : sample_range(queue, load.text("run", "15"))};
   job.checkpoint_interval = load.seconds("checkpoint", 0);
   job.checkpoint_save_time = load.seconds("save", 0);
   if (load.values.contains("deadline")) job.deadline = load.seconds("deadline", 60);
--- a/tests/simulation/load_generator.hpp
+++ b/tests/simulation/load_generator.hpp
@@ -24,7 +24,7 @@
 
   Simulation& simulation_;
   double until_;
-  int jobs_ = 0;
+  int job_count_ = 0;
 };
 
 }  // namespace poppystile::simulation
--- a/tests/simulation/network_faults.hpp
+++ b/tests/simulation/network_faults.hpp
@@ -42,14 +42,14 @@
   double lost_state_responses = 0;
   /// Share of the transactions that get no response and are carried out seconds later.
   double delayed_writes = 0;
-  AddedLatency state_responses;
-  AddedLatency heartbeat_responses;
+  AddedLatency delayed_state_responses;
+  AddedLatency delayed_heartbeat_responses;
   /// Added to each message between controllers.
   Seconds peer_message_delay{0};
   /// Of calls to the state service and the cloud, and of users' submissions and cancellations.
-  Duplication calls;
+  Duplication duplicated_calls;
   /// Of workers' heartbeats; the copy reaches any controller.
-  Duplication heartbeats;
+  Duplication duplicated_heartbeats;
   /// Workers in this zone reach only controllers in it, and the other way round; empty: none.
   std::string isolated_zone;
   /// Machines whose heartbeats arrive, but which get no response.
--- a/tests/simulation/scenario.cpp
+++ b/tests/simulation/scenario.cpp
@@ -24,10 +24,10 @@
   SimulationSettings settings = read_settings(statements_);
   settings.seed += static_cast<std::uint64_t>(seed_index);
   simulation_ = std::make_unique<Simulation>(settings);
-  loads_ = std::make_unique<LoadGenerator>(*simulation_, until_);
+  load_generator_ = std::make_unique<LoadGenerator>(*simulation_, until_);
   for (const auto& statement : statements_) {
     if (statement.words[0] == "type") add_machine_type(statement);
-    if (statement.words[0] == "load") loads_->schedule(statement);
+    if (statement.words[0] == "load") load_generator_->schedule(statement);
     if (statement.words[0] == "at") schedule_action(statement);
   }
 }
--- a/tests/simulation/scenario.hpp
+++ b/tests/simulation/scenario.hpp
@@ -55,7 +55,7 @@
   double until_ = 0;  // simulated time
   int seeds_ = 1;
   std::unique_ptr<Simulation> simulation_;
-  std::unique_ptr<LoadGenerator> loads_;
+  std::unique_ptr<LoadGenerator> load_generator_;
 };
 
 }  // namespace poppystile::simulation
--- a/tests/simulation/scenario_actions.cpp
+++ b/tests/simulation/scenario_actions.cpp
@@ -59,8 +59,8 @@
 
 void crash(Simulation& simulation, const Statement& statement) {
   const Seconds restart_after = statement.seconds("restart_after", default_restart_s);
-  const std::string which = statement.text("controller", "any");
-  if (which != "all") return simulation.controllers().select(which).crash(restart_after);
+  const std::string selector = statement.text("controller", "any");
+  if (selector != "all") return simulation.controllers().select(selector).crash(restart_after);
   for (const auto& controller : simulation.controllers().processes())
     controller->crash(restart_after);
 }
@@ -245,9 +245,9 @@
 
 void perform_action(Simulation& simulation, const Statement& statement) {
   const Action action = find_action(statement);
-  const Seconds lasts =
+  const Seconds fault_duration =
       std::max(duration_of(statement), statement.seconds("restart_after", default_restart_s));
-  simulation.invariants().expect_faults_until(simulation.queue().now() + lasts.count());
+  simulation.invariants().expect_faults_until(simulation.queue().now() + fault_duration.count());
   action(simulation, statement);
 }
 
--- a/tests/simulation/scenario_file.cpp
+++ b/tests/simulation/scenario_file.cpp
@@ -6,18 +6,18 @@
 
 namespace poppystile::simulation {
 
-std::string Statement::text(const std::string& key, const std::string& otherwise) const {
+std::string Statement::text(const std::string& key, const std::string& default_value) const {
   const auto it = values.find(key);
-  return it == values.end() ? otherwise : it->second;
+  return it == values.end() ? default_value : it->second;
 }
 
-double Statement::number(const std::string& key, double otherwise) const {
+double Statement::number(const std::string& key, double default_value) const {
   const auto it = values.find(key);
-  return it == values.end() ? otherwise : std::stod(it->second);
+  return it == values.end() ? default_value : std::stod(it->second);
 }
 
-int Statement::count(const std::string& key, int otherwise) const {
-  return static_cast<int>(number(key, otherwise));
+int Statement::count(const std::string& key, int default_value) const {
+  return static_cast<int>(number(key, default_value));
 }
 
 std::vector<std::string> split(const std::string& text, char separator) {
--- a/tests/simulation/scenario_file.hpp
+++ b/tests/simulation/scenario_file.hpp
@@ -18,11 +18,11 @@
   std::map<std::string, std::string> values;
 
   /// The value of the key, or `otherwise` if the statement does not have it.
-  std::string text(const std::string& key, const std::string& otherwise) const;
-  double number(const std::string& key, double otherwise) const;
-  int count(const std::string& key, int otherwise) const;
-  Seconds seconds(const std::string& key, double otherwise) const {
-    return Seconds{number(key, otherwise)};
+  std::string text(const std::string& key, const std::string& default_value) const;
+  double number(const std::string& key, double default_value) const;
+  int count(const std::string& key, int default_value) const;
+  Seconds seconds(const std::string& key, double default_value) const {
+    return Seconds{number(key, default_value)};
   }
   /// Whether the value of the key is "true".
   bool flag(const std::string& key) const { return text(key, "false") == "true"; }
--- a/tests/simulation/simulated_users.cpp
+++ b/tests/simulation/simulated_users.cpp
@@ -52,7 +52,7 @@
   queue_.after(latency, [this, &to, request, settle] {
     if (!to.is_running()) return settle({});
     transmit(to, request, settle);
-    if (is_mutation(request) && queue_.chance(faults_.calls.share)) duplicate(request);
+    if (is_mutation(request) && queue_.chance(faults_.duplicated_calls.share)) duplicate(request);
   });
 }
 
@@ -68,10 +68,12 @@
 
 // The copy of a request that was carried out reaches any controller.
 void SimulatedUsers::duplicate(const HttpRequest& request) {
-  queue_.after(queue_.uniform(faults_.calls.min_delay, faults_.calls.max_delay), [this, request] {
-    ControllerProcess& to = cluster_.random();
-    to.deliver([&to, request] { to.handle(request, [](const HttpResponse&) {}); });
-  });
+  queue_.after(
+      queue_.uniform(faults_.duplicated_calls.min_delay, faults_.duplicated_calls.max_delay),
+      [this, request] {
+        ControllerProcess& to = cluster_.random();
+        to.deliver([&to, request] { to.handle(request, [](const HttpResponse&) {}); });
+      });
 }
 
 void SimulatedUsers::submit(const protocol::JobSpec& job) {
@@ -149,17 +151,18 @@
   send_unusual_request(0);
 }
 
-void SimulatedUsers::send_unusual_request(int turn) {
+void SimulatedUsers::send_unusual_request(int request_number) {
   if (queue_.now() > unusual_requests_until_ || bodies_.empty()) return;
-  queue_.after(unusual_request_interval, [this, turn] { send_unusual_request(turn + 1); });
+  queue_.after(unusual_request_interval,
+               [this, request_number] { send_unusual_request(request_number + 1); });
   const double chosen = queue_.uniform(0, static_cast<double>(bodies_.size()));
   const auto& [job, body] = *std::next(bodies_.begin(), static_cast<long>(chosen));
-  if (turn % unusual_request_kinds != 0) return submit_invalid(turn, body);
+  if (request_number % unusual_request_kinds != 0) return submit_invalid(request_number, body);
   if (!invariants_.accepted().contains(job)) return;
-  finished_.contains(job) ? cancel(job) : submit_once_more(job);
+  finished_.contains(job) ? cancel(job) : resubmit_once(job);
 }
 
-void SimulatedUsers::submit_once_more(const std::string& job) {
+void SimulatedUsers::resubmit_once(const std::string& job) {
   call({"POST", "/submissions", bodies_[job]}, [this, job](const HttpResponse& response) {
     const std::string stage = response.status == 200 ? stage_of(response) : "";
     invariants_.record_response(job, response.status, stage, RequestKind::submission);
@@ -167,19 +170,20 @@
 }
 
 // By turns a task that fits no machine, and a submission without one of its required fields.
-void SimulatedUsers::submit_invalid(int turn, const std::string& valid_body) {
+void SimulatedUsers::submit_invalid(int request_number, const std::string& valid_body) {
   protocol::Json body = protocol::parse_object(valid_body);
   char id[16];
-  std::snprintf(id, sizeof(id), "req-9%06d", turn);
+  std::snprintf(id, sizeof(id), "req-9%06d", request_number);
   body["id"] = id;
   std::string defect = "a task fits nowhere";
-  if (turn % unusual_request_kinds == 1) {
+  if (request_number % unusual_request_kinds == 1) {
     body["cores"] = impossible_cores;
   } else {
     std::vector<std::string> required;
     for (const auto& [field, value] : body.items())
       if (field != "builds" && field != "yard" && field != "due_s") required.push_back(field);
-    const auto index = static_cast<std::size_t>(turn / unusual_request_kinds) % required.size();
+    const auto index =
+        static_cast<std::size_t>(request_number / unusual_request_kinds) % required.size();
     defect = required[index] + " is missing";
     body.erase(required[index]);
   }
--- a/tests/simulation/simulated_users.hpp
+++ b/tests/simulation/simulated_users.hpp
@@ -18,7 +18,7 @@
 /// Sends users' requests to random controllers, and reports each response to the checker.
 class SimulatedUsers {
  public:
-  using OnCancellationConfirmed = std::function<void(ControllerProcess& by)>;
+  using OnCancellationConfirmed = std::function<void(ControllerProcess& confirming_controller)>;
 
   /// `on_cancellation_confirmed` runs when a controller has confirmed a cancellation.
   SimulatedUsers(EventQueue& queue, const NetworkFaults& faults, InvariantChecker& invariants,
@@ -50,9 +50,9 @@
                 const OnResponse& on_response);
   void duplicate(const transport::HttpRequest& request);
   void poll(const std::string& job);
-  void send_unusual_request(int turn);
-  void submit_once_more(const std::string& job);
-  void submit_invalid(int turn, const std::string& valid_body);
+  void send_unusual_request(int request_number);
+  void resubmit_once(const std::string& job);
+  void submit_invalid(int request_number, const std::string& valid_body);
 
   EventQueue& queue_;
   const NetworkFaults& faults_;
--- a/tests/simulation/simulation.cpp
+++ b/tests/simulation/simulation.cpp
@@ -40,7 +40,9 @@
              }),
       faults_(queue_, network_faults_, state_service_, cloud_, controllers_, fleet_),
       users_(queue_, network_faults_, invariants_, controllers_,
-             [this](ControllerProcess& by) { faults_.cancellation_confirmed(by); }) {
+             [this](ControllerProcess& confirming_controller) {
+               faults_.cancellation_confirmed(confirming_controller);
+             }) {
   network_faults_.lost_state_responses = settings.lost_state_responses;
   for (const auto& team : settings.teams)
     invariants_.set_team_quota(team.name,
--- a/tests/simulation/state_service.cpp
+++ b/tests/simulation/state_service.cpp
@@ -16,9 +16,9 @@
 
 std::map<std::string, std::string> query_of(const std::string& target) {
   std::map<std::string, std::string> out;
-  const auto mark = target.find('?');
-  if (mark == std::string::npos) return out;
-  std::stringstream rest(target.substr(mark + 1));
+  const auto question_mark = target.find('?');
+  if (question_mark == std::string::npos) return out;
+  std::stringstream rest(target.substr(question_mark + 1));
   for (std::string pair; std::getline(rest, pair, '&');) {
     const auto equals = pair.find('=');
     out[pair.substr(0, equals)] = equals == std::string::npos ? "" : pair.substr(equals + 1);
@@ -166,7 +166,7 @@
   });
 }
 
-bool StateService::answer_watch(Watch& watch, bool even_empty) {
+bool StateService::answer_watch(Watch& watch, bool allow_empty) {
   if (watch.answered) return true;
   Json log = Json::array();
   for (const auto& each : changes_log_) {
@@ -177,7 +177,7 @@
       log.push_back({{"remove", each.key}, {"stamp", each.version}});
     }
   }
-  if (log.empty() && !even_empty) return false;
+  if (log.empty() && !allow_empty) return false;
   watch.answered = true;
   watch.respond({200, Json{{"epoch", revision_}, {"log", log}}.dump()});
   return true;
--- a/tests/simulation/state_service.hpp
+++ b/tests/simulation/state_service.hpp
@@ -77,7 +77,7 @@
   void erase(const std::string& key);
   void list(const std::map<std::string, std::string>& query, const OnResponse& respond);
   void watch(const std::map<std::string, std::string>& query, const OnResponse& respond);
-  bool answer_watch(Watch& watch, bool even_empty);
+  bool answer_watch(Watch& watch, bool allow_empty);
   void answer_watches();
   void handle_lease(const transport::HttpRequest& request, const OnResponse& respond);
   void schedule_expiry(std::uint64_t id);
--- a/tests/simulation/task_runner.cpp
+++ b/tests/simulation/task_runner.cpp
@@ -93,7 +93,7 @@
   Task task;
   protocol::split_task_name(task_name, task.job, task.index);
   task.attempt = attempt;
-  task.run = ++runs_;
+  task.run = ++last_run_;
   if (find(task_name, attempt) != nullptr) return;
   const protocol::JobSpec* spec = invariants_.find_job(task.job);
   if (spec == nullptr) return reject(std::move(task), "unknown");
--- a/tests/simulation/task_runner.hpp
+++ b/tests/simulation/task_runner.hpp
@@ -84,7 +84,7 @@
   bool is_up_ = true;
   bool tasks_fail_ = false;
   double hanging_until_ = 0;  // simulated time
-  std::uint64_t runs_ = 0;
+  std::uint64_t last_run_ = 0;
   std::vector<Task> tasks_;
   std::map<std::string, double> images_;  // simulated time at which each is, or will be, there
 };
--- a/tests/simulation/worker.cpp
+++ b/tests/simulation/worker.cpp
@@ -111,7 +111,7 @@
 void Worker::send_heartbeat() {
   if (tasks_.is_hanging())
     return send_heartbeat_after(Seconds{tasks_.hanging_until() - queue_.now()} + wake_up_delay);
-  const std::uint64_t number = in_flight_ = ++heartbeats_;
+  const std::uint64_t number = in_flight_ = ++last_heartbeat_number_;
   const double sent_at = last_heartbeat_at_ = queue_.now();
   // A heartbeat that cannot leave has its sequence number all the same.
   const std::string body = encode_heartbeat();
--- a/tests/simulation/worker.hpp
+++ b/tests/simulation/worker.hpp
@@ -94,7 +94,7 @@
   std::uint64_t incarnation_ = 1;
   std::uint64_t sequence_ = 0;
   std::uint64_t token_ = 0;
-  std::uint64_t heartbeats_ = 0;
+  std::uint64_t last_heartbeat_number_ = 0;
   std::uint64_t in_flight_ = 0;  // number of the heartbeat waited for; 0: none
 };
 
