--- a/tests/simulation/cloud.cpp
+++ b/tests/simulation/cloud.cpp
@@ -10,9 +10,9 @@
 using protocol::Json;
 
 namespace {
-constexpr Seconds failure_detection{30};  // a failed machine stays listed as running this long
-constexpr double min_boot_factor = 0.6, max_boot_factor = 1.5;  // of the type's boot time
-constexpr double min_lag_factor = 0.5, max_lag_factor = 2;      // of the lists' lag
+constexpr Seconds failure_detection{30};  // until a failed machine is listed as failed
+constexpr double min_boot_factor = 0.6, max_boot_factor = 1.5;  // multiples of the type's boot time
+constexpr double min_lag_factor = 0.5, max_lag_factor = 2;      // multiples of the list lag
 
 std::string pool_name(const std::string& type, const std::string& zone, bool spot) {
   return type + "/" + zone + (spot ? "/spot" : "/ordinary");
--- a/tests/simulation/cloud.hpp
+++ b/tests/simulation/cloud.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// Simulated cloud, after PROTOCOL: capacity, boots, lagging lists, repeated requests.
+/// Simulated cloud, as PROTOCOL specifies it: limited capacity, boot times, machine lists that lag
+/// behind, and repeated requests.
 #pragma once
 
 #include <deque>
@@ -15,7 +16,7 @@
 
 namespace poppystile::simulation {
 
-/// A machine between its rental and its release.
+/// A machine that has been rented and not yet released.
 struct RentedMachine {
   std::string id;
   std::string type;
@@ -23,7 +24,8 @@
   bool spot = false;
   bool booted = false;
   bool failed = false;
-  double rented_at = 0;  ///< simulated time
+  /// Simulated time, in seconds.
+  double rented_at = 0;
 };
 
 /// The cloud's interface for renting, releasing and listing machines.
@@ -31,26 +33,31 @@
  public:
   using OnResponse = std::function<void(transport::HttpResponse)>;
 
-  /// Lists show the machines as they were between half and twice the lag ago.
+  /// A list shows the state of the machines at a random time between half `list_lag` and twice
+  /// `list_lag` ago.
   Cloud(EventQueue& queue, Seconds list_lag) : queue_(queue), list_lag_s_(list_lag.count()) {}
 
-  /// Offers so many machines of the type in each of its zones.
+  /// Offers `count` ordinary and `spot_count` spot machines of the type in each of its zones.
   void add_type(const protocol::MachineType& type, int count, int spot_count);
-  /// Handles a request to the cloud's interface; `respond` runs once, at once.
+  /// Handles a request to the cloud's interface. Calls `respond` once, before it returns.
   void handle(const transport::HttpRequest& request, const OnResponse& respond);
-  /// While down, every request gets a 503.
+  /// While the cloud is down, it responds to every request with 503.
   void set_down(bool down) { down_ = down; }
-  /// This share of the machines rented from now on never boots.
+  /// Each machine that is rented from now on fails to boot with the probability `share`.
   void set_boot_failures(double share) { boot_failure_share_ = share; }
-  /// The machine fails. Lists show it as running for a while, and as failed from then on.
+  /// Makes the machine fail. Lists show it as running for 30 s more (and their lag), and then as
+  /// failed.
   void fail(const std::string& id);
-  /// The cloud takes the machine back.
+  /// Takes the machine back from the cluster without a notice.
   void reclaim(const std::string& id) { remove(id); }
-  /// What all machines together have been rented for, in seconds.
+  /// The sum of the rental times of all machines, in seconds; a failed machine counts until the
+  /// cloud detects the failure.
   double machine_seconds() const;
 
+  /// Runs when a rented machine has booted.
   std::function<void(const RentedMachine&, const protocol::MachineType&)> on_machine_booted;
-  std::function<void(const std::string&)> on_machine_removed;  ///< released, reclaimed or failed
+  /// Runs with the id of a machine that has been released, has been reclaimed or has failed.
+  std::function<void(const std::string&)> on_machine_removed;
 
  private:
   void rent(const std::string& body, const OnResponse& respond);
@@ -66,8 +73,8 @@
   bool down_ = false;
   double boot_failure_share_ = 0;
   std::vector<protocol::MachineType> types_;
-  std::map<std::string, int> available_;                 // by type, zone and kind
-  std::map<std::string, std::string> rental_responses_;  // by the request's name
+  std::map<std::string, int> available_;                 // by pool_name()
+  std::map<std::string, std::string> rental_responses_;  // by name of the request
   std::map<std::string, RentedMachine> machines_;
   std::deque<std::pair<double, std::vector<RentedMachine>>> snapshots_;  // by simulated time
   double released_machine_seconds_ = 0;
--- a/tests/simulation/controller_cluster.hpp
+++ b/tests/simulation/controller_cluster.hpp
@@ -11,29 +11,30 @@
 
 namespace poppystile::simulation {
 
-/// Owns the controller processes and finds the one that a caller means.
+/// Owns the controller processes and selects them by name, role or number.
 class ControllerCluster {
  public:
   explicit ControllerCluster(const SimulatedNetwork& network) : network_(network) {}
 
-  /// Creates and starts all controllers. To be called once.
+  /// Creates and starts all controllers. Must be called once.
   void start(const SimulationSettings& settings);
 
   const std::vector<std::unique_ptr<ControllerProcess>>& processes() const { return processes_; }
-  /// Null when no controller has this name.
+  /// Returns the controller with this name, or null if there is none.
   ControllerProcess* find(const std::string& name) const;
-  /// The first that believes to lead; null when none does.
+  /// Returns the first controller that considers itself the leader, or null if there is none.
   ControllerProcess* leader() const;
-  /// The first that runs and does not lead; null when there is none.
+  /// Returns the first running controller that is not a leader, or null if there is none.
   ControllerProcess* follower() const;
   ControllerProcess& random() const;
-  /// Those that run and that users reach.
+  /// The running controllers that are not partitioned from the users.
   std::vector<ControllerProcess*> reachable_by_users() const;
-  /// `selector`: any, leader, follower or a number. Any when no controller fits.
+  /// `selector` is `any`, `leader`, `follower` or a controller's number. Returns a random
+  /// controller for `any`, and if there is no leader or no follower.
   ControllerProcess& select(const std::string& selector) const;
-  /// Whether some controller leads under a higher token.
+  /// Whether some controller is leader under a leadership token higher than `token`.
   bool has_leader_above(std::uint64_t token) const;
-  /// Releases of machines asked for by controllers that had been replaced as leader.
+  /// Number of release requests sent by controllers that had already been replaced as leader.
   std::uint64_t stale_releases() const;
 
  private:
--- a/tests/simulation/controller_process.cpp
+++ b/tests/simulation/controller_process.cpp
@@ -14,12 +14,12 @@
 using transport::HttpResponse;
 
 namespace {
-constexpr double max_clock_drift = 0.0005;                 // PROTOCOL's bound, as a share
-constexpr double max_wall_offset_s = 0.1;                  // PROTOCOL's bound
+constexpr double max_clock_drift = 0.0005;                 // the bound in PROTOCOL, as a fraction
+constexpr double max_wall_offset_s = 0.1;                  // the bound in PROTOCOL
 constexpr SteadyTime steady_start{Seconds{1000}};          // arbitrary
 constexpr WallTime wall_start{Seconds{1.7e9}};             // arbitrary
-constexpr Seconds timer_granularity{0.0005};               // timers run this late
-constexpr Seconds rejection_delay{0.003};                  // until a 503 arrives
+constexpr Seconds timer_granularity{0.0005};               // delay of every timer
+constexpr Seconds rejection_delay{0.003};                  // from the call to its 503
 constexpr Seconds min_latency{0.001}, max_latency{0.004};  // one way
 constexpr double slow_packet_share = 0.01;
 constexpr Seconds slow_packet_latency{0.3};
@@ -61,7 +61,7 @@
   network_.queue.after(duration, [this, lifetime = std::weak_ptr<int>(lifetime_)] {
     if (lifetime.expired()) return;
     paused_ = false;
-    // Timers that are due run before any message is read.
+    // Timers that became due during the pause run before any waiting message is delivered.
     for (auto& timer : std::exchange(due_timers_, {})) timer();
     for (auto& message : std::exchange(waiting_messages_, {}))
       if (!lifetime.expired()) message();
@@ -110,7 +110,8 @@
   const auto on_response = [this, lifetime, settle](const HttpResponse& response) {
     if (!lifetime.expired()) deliver([settle, response] { settle(response); });
   };
-  // A timer, and so before any response that waits when the process resumes.
+  // The timeout is a timer: when the process resumes, it runs before a waiting response is
+  // delivered.
   after(timeout, [settle] { settle({}); });
   if (to == state_service_endpoint()) {
     if (!intercept_state_call(request, on_response)) send(Service::state, request, on_response);
@@ -121,11 +122,13 @@
   send(Service::cloud, request, on_response);
 }
 
-// Whether a fault keeps the call from reaching the state service in the usual way.
+// Applies the faults that replace the normal delivery of a call to the state service: partition,
+// rejection or delayed write. Returns whether one of them applied.
 bool ControllerProcess::intercept_state_call(const HttpRequest& request,
                                              const OnResponse& on_response) {
   if (partition_.state_service) {
-    // What is held arrives in the end, though the caller has given up by then.
+    // A held call reaches the service when the partition heals. Its response is dropped, since the
+    // caller no longer waits for it.
     if (partition_.deliver_on_heal)
       hold([this, request] { network_.state_service.handle(request, ignore_response); });
     return true;
@@ -170,7 +173,7 @@
     return hold([on_response, response] { on_response(response); });
   Seconds added_delay{0};
   if (service == Service::state) {
-    // Nothing crosses a partition, responses to calls made before it included.
+    // A partition also drops the responses to calls that were sent before it began.
     if (partition_.state_service || queue.chance(faults.lost_state_responses)) return;
     if (queue.chance(faults.delayed_state_responses.share))
       added_delay = faults.delayed_state_responses.delay;
--- a/tests/simulation/controller_process.hpp
+++ b/tests/simulation/controller_process.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// One controller of the simulation: the real Controller over simulated time and network.
+/// One controller of the simulation: the production Controller on simulated time and network.
 #pragma once
 
 #include <functional>
@@ -22,7 +22,7 @@
 
 class ControllerCluster;
 
-/// What every controller process of one simulation shares.
+/// The parts of a simulation that all of its controller processes share.
 struct SimulatedNetwork {
   EventQueue& queue;
   const NetworkFaults& faults;
@@ -36,20 +36,21 @@
                           public transport::HttpCaller,
                           public transport::PeerTransport {
  public:
-  /// Draws the clock's drift and offset; does not start the controller.
+  /// Chooses the drift and the offset of the process's clocks at random. Does not start the
+  /// controller.
   ControllerProcess(const SimulatedNetwork& network, ControllerCluster& cluster,
                     protocol::Settings settings, int number);
 
-  /// Starts the controller with an empty memory. It must not be running.
+  /// Starts a new controller, which has no state yet. None may be running.
   void start();
-  /// Ends the controller with all that waits for it; starts it again after `restart_after`.
-  /// Does nothing if it is not running.
+  /// Destroys the controller and drops its timers and the messages that wait for it, and starts a
+  /// new one after `restart_after`. Does nothing if the controller is not running.
   void crash(Seconds restart_after);
-  /// Pauses the process: clocks go on, but timers and messages wait until it resumes. Does
-  /// nothing if it is paused or not running.
+  /// Pauses the process for `duration`. Its clocks advance, but timers and messages wait until it
+  /// resumes. Does nothing if the process is paused or not running.
   void pause(Seconds duration);
   void set_partition(const NetworkPartition& partition) { partition_ = partition; }
-  /// Ends the partition and delivers what was held back.
+  /// Ends the partition and delivers the held messages.
   void heal();
 
   int number() const { return number_; }
@@ -60,14 +61,15 @@
   bool is_paused() const { return paused_; }
   bool is_leader() const { return is_running() && controller_->is_leader(); }
   std::uint64_t token() const { return controller_->token(); }
-  /// Releases of machines that it asked for while another led under a higher token.
+  /// Number of release requests that it sent while another controller was leader under a higher
+  /// token.
   std::uint64_t stale_releases() const { return stale_releases_; }
 
-  /// Runs `action`, the arrival of a message, now or when the process resumes.
+  /// Runs `action`, which delivers a message: now or, if the process is paused, when it resumes.
   void deliver(std::function<void()> action);
-  /// Keeps `action`, the arrival of a message, until the partition heals.
+  /// Holds `action`, which delivers a message, until the partition heals.
   void hold(std::function<void()> action) { held_messages_.push_back(std::move(action)); }
-  /// Passes a request to the controller; dropped without a response if it is not running.
+  /// Passes a request to the controller; drops it without a response if none is running.
   void handle(const transport::HttpRequest& request, transport::Respond respond);
 
   SteadyTime now() const override;
@@ -95,14 +97,15 @@
   const protocol::Settings settings_;
   const protocol::Properties properties_;
   int number_;
-  double clock_rate_;    // of the steady clock, against simulated time
-  Seconds wall_offset_;  // of the wall clock
+  double clock_rate_;    // of the steady clock, relative to simulated time
+  Seconds wall_offset_;  // of the wall clock, from the true time
   NetworkPartition partition_;
   std::vector<std::function<void()>> held_messages_;
   bool paused_ = false;
-  std::vector<std::function<void()>> due_timers_, waiting_messages_;  // while paused
+  std::vector<std::function<void()>> due_timers_,
+      waiting_messages_;  // collected while the process is paused
   std::uint64_t stale_releases_ = 0;
-  std::shared_ptr<int> lifetime_;  // of the controller; callbacks hold it weakly
+  std::shared_ptr<int> lifetime_;  // expires in callbacks when the controller is destroyed
   std::function<void(const std::string&)> frame_handler_;
   std::unique_ptr<coordination::Controller> controller_;
 };
--- a/tests/simulation/fake_http_caller.hpp
+++ b/tests/simulation/fake_http_caller.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// Time, and calls to the simulated state service, as one part of a controller sees them in a test.
+/// Simulated time and calls to the simulated state service, for tests of a single component of a
+/// controller.
 #pragma once
 
 #include <functional>
@@ -14,7 +15,8 @@
 
 namespace poppystile::simulation {
 
-/// Writes a record to the state service as some controller would.
+/// Writes a record to the state service, unconditionally and without a lease, in place of a
+/// controller.
 inline void write_record(StateService& service, const std::string& key,
                          const protocol::Json& value) {
   const protocol::Json put = {{"write", key}, {"data", value}};
@@ -22,11 +24,11 @@
                  [](const transport::HttpResponse&) {});
 }
 
-/// Runs timers in simulated time and sends every call to the state service, with the faults set.
-/// Once destroyed, it runs no callback any more; requests already sent still arrive.
+/// Runs timers in simulated time and sends every call to the state service, with the configured
+/// faults. Runs no callback after its destruction; requests that were already sent still arrive.
 class FakeHttpCaller : public transport::Runtime, public transport::HttpCaller {
  public:
-  /// This share of the responses is lost.
+  /// Each response is lost with the probability `lost_response_share`.
   FakeHttpCaller(EventQueue& queue, StateService& service, double lost_response_share)
       : queue_(queue), service_(service), lost_response_share_(lost_response_share) {}
 
@@ -63,9 +65,12 @@
                  });
   }
 
-  Seconds journal_write_delay{0};      ///< added to the journal's transactions on their way
-  Seconds journal_duplicate_delay{0};  ///< after which those arrive once more; zero: they do not
-  Seconds response_delay{0};           ///< added to every response
+  /// Added to the latency of the journal's transactions on their way to the service.
+  Seconds journal_write_delay{0};
+  /// Time after which a second copy of each journal transaction arrives; zero for no copies.
+  Seconds journal_duplicate_delay{0};
+  /// Added to the latency of every response.
+  Seconds response_delay{0};
 
  private:
   static constexpr Seconds min_latency{0.001}, max_latency{0.02};
--- a/tests/simulation/fault_injector.cpp
+++ b/tests/simulation/fault_injector.cpp
@@ -6,8 +6,9 @@
 namespace poppystile::simulation {
 
 namespace {
-constexpr int max_hanging_machines = 8;  // of those that cancelled jobs run on
-constexpr Seconds crash_delay{0.0001};   // a controller cannot end inside its own call
+constexpr int max_hanging_machines = 8;  // in hang_machines with a set of machines
+constexpr Seconds crash_delay{
+    0.0001};  // a controller must not be destroyed during a call of its own method
 }  // namespace
 
 FaultInjector::FaultInjector(EventQueue& queue, NetworkFaults& network, StateService& state_service,
--- a/tests/simulation/gangs.cpp
+++ b/tests/simulation/gangs.cpp
@@ -7,9 +7,10 @@
 
 namespace {
 constexpr Seconds host_check_interval{0.5};
-constexpr double min_work_s = 0.1;  // of an attempt that has everything done
-constexpr double min_run_factor = 0.6, max_run_factor = 1.4;  // of the estimated run time
-constexpr double min_notice_factor = 0.2;  // of the time within which peers notice a lost task
+constexpr double min_work_s =
+    0.1;  // minimum run time of an attempt, even if all work is already saved
+constexpr double min_run_factor = 0.6, max_run_factor = 1.4;  // multiples of the estimated run time
+constexpr double min_notice_factor = 0.2;  // multiple of GangTiming::peer_timeout
 }  // namespace
 
 void Gangs::join(const std::string& job, std::uint64_t attempt, std::uint32_t index, GangHost& host,
@@ -43,7 +44,7 @@
                      [](const auto& each) { return each.second.host->is_hanging(); });
 }
 
-// The tasks notice a machine that hangs as if its task were gone.
+// The other tasks treat the task on a hanging machine as lost.
 void Gangs::check_hosts(const Key& key) {
   const Attempt& attempt = attempts_[key];
   if (attempt.is_ended) return;
@@ -125,7 +126,7 @@
 }
 
 void Gangs::end_all_tasks(const Key& key, const std::string& cause, bool saved) {
-  const auto members = attempts_[key].members;  // a copy: each end removes one
+  const auto members = attempts_[key].members;  // a copy, since end_gang_task removes the member
   for (const auto& [index, member] : members) member.host->end_gang_task(member.run, cause, saved);
 }
 
--- a/tests/simulation/gangs.hpp
+++ b/tests/simulation/gangs.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// How the tasks of a gang wait for one another, run, stop and end together: the users' table for
-/// workers, played for all machines of a simulation.
+/// Simulates how the tasks of a gang wait for one another, run, stop and end together. It follows
+/// the users' table of worker behaviour and covers all machines of a simulation.
 #pragma once
 
 #include <cstdint>
@@ -13,23 +13,23 @@
 
 namespace poppystile::simulation {
 
-/// The machine that a gang's task is on. `run` is the host's own name for the run of the task.
+/// The machine that runs a task of a gang. `run` identifies one run of a task on this machine.
 class GangHost {
  public:
   virtual ~GangHost() = default;
-  /// All tasks of the gang are there: the task begins to work.
+  /// Called when all tasks of the gang have joined: the task starts its work.
   virtual void start_gang_task(std::uint64_t run) = 0;
-  /// The task exits. `saved`: its progress has been saved.
+  /// Makes the task exit with `cause`. `saved` says whether its progress has been saved.
   virtual void end_gang_task(std::uint64_t run, const std::string& cause, bool saved) = 0;
   virtual bool is_hanging() const = 0;
 };
 
-/// How long the tasks of a gang wait for one another.
+/// The timeouts within a gang.
 struct GangTiming {
-  /// After which a task that waits for the others to start gives up.
+  /// Time after which a task exits if not all tasks of its gang have joined.
   Seconds start_timeout{40};
-  /// After which all tasks have noticed that one of them is gone, and a save fails that some have
-  /// not joined.
+  /// Time within which all tasks detect that one of them has been lost; also the time within which
+  /// all tasks must have been stopped after the first one, or else saving their progress fails.
   Seconds peer_timeout{6};
 };
 
@@ -39,21 +39,26 @@
   Gangs(EventQueue& queue, InvariantChecker& invariants, const GangTiming& timing)
       : queue_(queue), invariants_(invariants), timing_(timing) {}
 
-  /// A task of this attempt has its image and waits for the others.
+  /// Called when a task of this attempt has its image and waits for the other tasks. Starts the
+  /// gang if it is the last one.
   void join(const std::string& job, std::uint64_t attempt, std::uint32_t index, GangHost& host,
             std::uint64_t run);
-  /// A task is gone, for whatever reason.
+  /// Called when a task has left its machine, for any reason. Fails a started attempt that has not
+  /// ended.
   void leave(const std::string& job, std::uint64_t attempt, std::uint32_t index);
-  /// A task is to stop within `grace`. Progress is saved if all tasks are to stop in time.
+  /// Stops a task within `grace`. Progress is saved if `grace` is long enough for a save and all
+  /// tasks of the attempt are stopped within the peer timeout; otherwise only the progress up to
+  /// the last periodic checkpoint is kept, if the job has checkpoints.
   void stop(const std::string& job, std::uint64_t attempt, std::uint32_t index, Seconds grace);
 
-  /// Attempts of which all tasks were there at once.
+  /// Number of attempts in which all tasks joined.
   std::uint64_t started() const { return started_; }
-  /// Attempts that were stopped with their progress saved.
+  /// Number of attempts that were stopped with their progress saved.
   std::uint64_t saved() const { return saved_; }
-  /// Attempts that had started and lost a task.
+  /// Number of started attempts that failed because a task was lost, its machine hung, or not all
+  /// tasks were stopped in time.
   std::uint64_t failed() const { return failed_; }
-  /// Tasks that gave up waiting for the others.
+  /// Number of tasks that exited since their gang was still incomplete after the start timeout.
   std::uint64_t incomplete() const { return incomplete_; }
 
  private:
@@ -63,11 +68,11 @@
     bool is_stopping = false;
   };
   struct Attempt {
-    std::map<std::uint32_t, Member> members;  // by task
+    std::map<std::uint32_t, Member> members;  // by index of the task
     bool is_started = false;
     bool is_ended = false;
     double started_at = 0;   // simulated time
-    double stopped_at = -1;  // simulated time of the first stop; negative: none
+    double stopped_at = -1;  // simulated time of the first stop; negative if there was none
   };
   using Key = std::pair<std::string, std::uint64_t>;  // job and attempt
 
@@ -79,7 +84,7 @@
   void save(const Key& key);
   static bool all_stopping(const Attempt& attempt);
   void end_all_tasks(const Key& key, const std::string& cause, bool saved);
-  /// Seconds of work that the attempt has done, with what was saved before it.
+  /// Seconds of work done by this attempt, plus the progress that earlier attempts saved.
   double progress_s(const Key& key);
   double total_work_s(const std::string& job);
 
--- a/tests/simulation/heartbeat_network.hpp
+++ b/tests/simulation/heartbeat_network.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Carries workers' heartbeats to controllers, and the responses back.
+/// Transmits workers' heartbeats to controllers, and the responses back.
 #pragma once
 
 #include <cstdint>
@@ -11,17 +11,17 @@
 
 namespace poppystile::simulation {
 
-/// The network between workers and controllers, with the faults in force.
+/// The network between workers and controllers, with the current faults.
 class HeartbeatNetwork {
  public:
   HeartbeatNetwork(EventQueue& queue, const NetworkFaults& faults, ControllerCluster& cluster)
       : queue_(queue), faults_(faults), cluster_(cluster) {}
 
-  /// Sends a heartbeat to the controller of this name. `on_response` runs once or, when the
-  /// heartbeat or its response is lost, never; with status 0 if the controller is not running.
+  /// Sends a heartbeat to the controller with this name. `on_response` runs once, with status 0 if
+  /// the controller is not running; it never runs if the heartbeat or its response is lost.
   void send(const std::string& controller, const Worker& from, const std::string& body,
             Worker::OnResponse on_response);
-  /// Responses with commands to start tasks that never reached their machines.
+  /// Number of lost responses that contained a command to start a task.
   std::uint64_t lost_start_commands() const { return lost_start_commands_; }
 
  private:
--- a/tests/simulation/invariant_checker.cpp
+++ b/tests/simulation/invariant_checker.cpp
@@ -3,14 +3,14 @@
 namespace poppystile::simulation {
 
 namespace {
-// All in seconds.
-constexpr double check_tolerance_s = 0.5;  // the check runs every half second
-constexpr double max_unanswered_s = 75;    // PROTOCOL: after the last fault
-constexpr double max_waiting_s = 90;       // PROTOCOL: after the last fault, beside room that fits
-// An image may take as long to arrive, so that a start up to then after its command is no fault.
+// Durations are in seconds.
+constexpr double check_tolerance_s = 0.5;  // the check runs every 0.5 s
+constexpr double max_unanswered_s = 75;    // PROTOCOL; counted from the end of the last fault
+constexpr double max_waiting_s = 90;       // PROTOCOL; counted from the end of the last fault
+// Fetching an image may take this long, so that a task may still start this long after its command.
 constexpr double late_start_s = 20;
-constexpr double largest_start_s = 240;  // PROTOCOL: the largest jobs start within this
-constexpr double largest_share = 0.1;    // of a class's jobs, by tasks
+constexpr double largest_start_s = 240;  // PROTOCOL: time within which the largest jobs start
+constexpr double largest_share = 0.1;    // fraction of a class's jobs, those with the most tasks
 
 std::string task_on_machine(const std::string& job, std::uint32_t index,
                             const std::string& machine) {
@@ -87,7 +87,8 @@
   if (cancelled == cancelled_at_.end()) return;
   if (queue_.now() > cancelled->second + late_start_s) ++starts_after_cancellation_;
   if (queue_.now() > cancelled->second + cancel_timeout_s_)
-    record_violation(Invariant::cancellation_deadline, task_on_machine + " started");
+    record_violation(Invariant::cancellation_deadline,
+                     task_on_machine + " started after its job's cancellation timeout");
 }
 
 void InvariantChecker::check_placement(const protocol::JobSpec& spec, std::uint32_t index,
@@ -113,9 +114,11 @@
       ++(other.zone == host.zone ? same_zone : other_zones);
   }
   if (spec.one_zone && other_zones > 0)
-    record_violation(Invariant::placement_constraints, name + " is not in the job's one zone");
+    record_violation(Invariant::placement_constraints,
+                     name + " is not in the zone of the job's other tasks");
   if (spec.spread && same_zone > (spec.tasks + 1) / 2)
-    record_violation(Invariant::placement_constraints, name + " exceeds its zone's half");
+    record_violation(Invariant::placement_constraints,
+                     name + ": more than half of the job's tasks are in one zone");
 }
 
 void InvariantChecker::record_task_removed(const std::string& job, std::uint32_t index,
@@ -152,10 +155,12 @@
 void InvariantChecker::record_response(const std::string& job, int status, const std::string& state,
                                        RequestKind kind) {
   if (status == 404 && accepted_.contains(job))
-    record_violation(Invariant::accepted_job_durable, job + " got 404");
+    record_violation(Invariant::accepted_job_durable,
+                     job + " is accepted, but a request for it got 404");
   const bool refused = status == 400 || status == 422;
   if (refused && kind == RequestKind::submission && accepted_.contains(job))
-    record_violation(Invariant::accepted_job_durable, job + " refused when repeated");
+    record_violation(Invariant::accepted_job_durable,
+                     job + " is accepted, but its repeated submission was refused");
   if (status != 200 && status != 201) return;
   if (!jobs_.contains(job)) return record_violation(Invariant::only_submitted_jobs, job);
   accepted_.insert(job);
@@ -163,9 +168,9 @@
   if (state == "done" && completed_[job].size() < jobs_.at(job).tasks)
     record_violation(Invariant::done_means_completed, job);
   if (done_.contains(job) && state != "done")
-    record_violation(Invariant::terminal_state_final, job + " done then " + state);
+    record_violation(Invariant::terminal_state_final, job + " was done, but is now " + state);
   if (cancelled_at_.contains(job) && state != "aborted")
-    record_violation(Invariant::terminal_state_final, job + " cancelled then " + state);
+    record_violation(Invariant::terminal_state_final, job + " was cancelled, but is now " + state);
   if (state == "done") done_.insert(job);
 }
 
@@ -183,7 +188,7 @@
     if (cancelled != cancelled_at_.end() &&
         queue_.now() > cancelled->second + cancel_timeout_s_ + check_tolerance_s)
       record_violation(Invariant::cancellation_deadline,
-                       task.first + " still on " + hosts.begin()->first);
+                       task.first + " is cancelled, but still on " + hosts.begin()->first);
   }
 }
 
@@ -209,7 +214,7 @@
   const double since = waiting_since_.emplace(job, queue_.now()).first->second;
   if (queue_.now() - std::max(since, faults_until_) <= max_waiting_s) return;
   record_violation(Invariant::work_conserving,
-                   std::string(job).append(" waits beside room on ").append(machine));
+                   std::string(job).append(" waits although there is room on ").append(machine));
   waiting_since_[job] = queue_.now();
 }
 
@@ -230,10 +235,10 @@
 
 void InvariantChecker::check_queries_answered() {
   for (const auto& job : accepted_) {
-    // Without a query no response is due.
+    // A job without a query since its last response is not checked.
     const double since = std::max(last_answered_at_[job], faults_until_);
     if (last_queried_at_[job] > since && queue_.now() - since > max_unanswered_s)
-      record_violation(Invariant::accepted_job_durable, job + " unanswered");
+      record_violation(Invariant::accepted_job_durable, job + " got no response to its last query");
   }
 }
 
@@ -256,7 +261,7 @@
            first_started_at_[job] - submitted_at_[job] <= largest_start_s;
   });
   if (2 * static_cast<std::size_t>(in_time) < jobs.size())
-    record_violation(Invariant::fair_service, "largest of " + name);
+    record_violation(Invariant::fair_service, "largest jobs of " + name);
 }
 
 std::size_t InvariantChecker::running_tasks(const std::string& job_class) const {
--- a/tests/simulation/invariant_checker.hpp
+++ b/tests/simulation/invariant_checker.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The invariants of PROTOCOL, checked at every step of a simulation.
+/// Checks the invariants of PROTOCOL throughout a simulation.
 #pragma once
 
 #include <algorithm>
@@ -16,7 +16,7 @@
 
 namespace poppystile::simulation {
 
-/// The properties of a machine that placement constraints refer to.
+/// A machine with the properties that placement constraints refer to.
 struct HostMachine {
   std::string machine;
   std::string type;
@@ -24,28 +24,40 @@
   bool spot = false;
 };
 
-/// What must hold in every simulation.
+/// The invariants that must hold in every simulation.
 enum class Invariant {
-  at_most_one_copy,        ///< a task is on one machine at a time
-  placement_constraints,   ///< zones, machine types and spot as the job asks
-  team_quota,              ///< no team uses more than its limit
-  cancellation_deadline,   ///< a cancelled job is off all machines in time
-  accepted_job_durable,    ///< an accepted job stays known, and gets responses
-  only_submitted_jobs,     ///< no job is reported that nobody submitted
-  done_means_completed,    ///< a job is done only when all its tasks are
-  terminal_state_final,    ///< a done or cancelled job stays that
-  work_conserving,         ///< no job waits for long beside room that fits it
-  fair_service,            ///< no class, team or class's largest jobs are left out
-  invalid_request_refused  ///< a request that is wrong is not accepted
+  /// A task is on at most one machine at a time.
+  at_most_one_copy,
+  /// A task is only on a machine whose zone, type and spot property the job allows.
+  placement_constraints,
+  /// No team uses more CPUs than its quota.
+  team_quota,
+  /// A cancelled job has left all machines within the cancellation timeout.
+  cancellation_deadline,
+  /// An accepted job is never lost or refused later, and queries for it get responses.
+  accepted_job_durable,
+  /// No controller reports a job that was never submitted.
+  only_submitted_jobs,
+  /// A job is reported as done only after all of its tasks have completed.
+  done_means_completed,
+  /// A job that was reported as done or cancelled stays in that state.
+  terminal_state_final,
+  /// No job waits for long while a machine has room for it.
+  work_conserving,
+  /// No class, no team and not the largest jobs of a class are starved.
+  fair_service,
+  /// An invalid submission is never accepted.
+  invalid_request_refused
 };
 
-/// The name of the invariant as reports show it.
+/// Returns the invariant's name for violation messages.
 const char* name_of(Invariant invariant);
 
-/// What a user's request asked for.
+/// The kind of a user's request.
 enum class RequestKind { submission, query, cancellation };
 
-/// Knows the true state of all tasks and what users were informed of, and records every violation.
+/// Tracks the actual state of all tasks and the responses that users got, and records every
+/// violation of an invariant.
 class InvariantChecker {
  public:
   InvariantChecker(EventQueue& queue, Seconds cancel_timeout)
@@ -53,17 +65,18 @@
 
   // Jobs.
 
-  /// `max_millicores`: zero for no limit.
+  /// `max_millicores` is zero if the team has no limit.
   void set_team_quota(const std::string& team, std::int64_t max_millicores) {
     team_quotas_[team] = max_millicores;
   }
   void record_submission(const protocol::JobSpec& job);
-  /// Every task of this job fails, wherever it runs.
+  /// Makes every task of this job fail on every machine.
   void mark_failing(const std::string& job) { failing_jobs_.insert(job); }
   bool is_failing(const std::string& job) const { return failing_jobs_.contains(job); }
-  /// Null when the job was never submitted.
+  /// Returns the submitted job, or null if it was never submitted.
   const protocol::JobSpec* find_job(const std::string& job) const;
-  /// `handler` runs when a job's last task has completed. Replaces an earlier one.
+  /// Sets the handler that runs with the job's id when its last task has completed. Replaces the
+  /// previous handler.
   void on_job_completed(std::function<void(const std::string&)> handler) {
     on_job_completed_ = std::move(handler);
   }
@@ -77,10 +90,10 @@
   /// The machines that tasks of the job are on.
   std::set<std::string> machines_of(const std::string& job) const;
 
-  // Users' requests and the responses.
+  // Users' requests and their responses.
 
   void record_query(const std::string& job) { last_queried_at_[job] = queue_.now(); }
-  /// `state`: of the job as the response says it; empty when the response has none.
+  /// `state` is the job's state in the response; empty if the response contains none.
   void record_response(const std::string& job, int status, const std::string& state,
                        RequestKind kind);
   void record_cancellation_confirmed(const std::string& job);
@@ -89,29 +102,34 @@
 
   // Periodic checks.
 
-  /// Faults last at least until this simulated time; responses and service are due after them.
+  /// Declares that faults may have effects until this simulated time. The time limits for responses
+  /// and for waiting jobs count from the end of the last fault.
   void expect_faults_until(double time) { faults_until_ = std::max(faults_until_, time); }
   void check_cancelled_jobs();
-  /// Whether no task of the job is on a machine, some are left, and its team may have one more.
+  /// Whether the job is not cancelled, has uncompleted tasks and none on a machine, and its team's
+  /// quota allows one more task (for a gang: all of its tasks).
   bool is_waiting_within_quota(const std::string& job) const;
-  /// To be called about once a second for every accepted job: `machine` has room for the job, which
-  /// waits; empty when the job does not wait or finds no room.
+  /// Must be called about once a second for every accepted job. `machine` is a machine with room
+  /// for the job if the job waits, and empty if it does not wait or no machine has room.
   void check_waiting_job(const std::string& job, const std::string& machine);
-  /// To be called once, at the end: whether all queries got responses, and all groups service.
+  /// Must be called once, at the end. Checks that all queries got responses and that no class and
+  /// no team was starved.
   void check_final_service();
 
   // Results.
 
-  /// One line for each violation: time, invariant, details.
+  /// One line for each violation: simulated time in seconds, invariant and details.
   const std::vector<std::string>& violations() const { return violations_; }
+  /// Number of tasks placed on machines, restarts included.
   std::uint64_t starts() const { return starts_; }
+  /// The part of starts() that belongs to failing jobs.
   std::uint64_t failing_job_starts() const { return failing_job_starts_; }
-  /// Starts of tasks long after the cancellation of their job was confirmed.
+  /// Number of task starts later than 20 s after the confirmed cancellation of their job.
   std::uint64_t starts_after_cancellation() const { return starts_after_cancellation_; }
   std::size_t done_jobs() const { return done_.size(); }
   std::size_t accepted_jobs() const { return accepted_.size(); }
   std::size_t cancelled_jobs() const { return cancelled_at_.size(); }
-  /// Tasks of this class that are on machines now.
+  /// Number of tasks of this class that are on machines now.
   std::size_t running_tasks(const std::string& job_class) const;
 
  private:
@@ -141,8 +159,8 @@
   std::map<std::string, double> first_started_at_;
   std::map<std::string, double> cancelled_at_;  // when the user got the confirmation
   std::map<std::string, double> last_answered_at_;
-  std::map<std::string, double> last_queried_at_;  // newest query
-  std::map<std::string, double> waiting_since_;    // beside room
+  std::map<std::string, double> last_queried_at_;  // time of the newest query
+  std::map<std::string, double> waiting_since_;    // while a machine has room
   std::function<void(const std::string&)> on_job_completed_;
   double faults_until_ = 0;
   std::vector<std::string> violations_;
--- a/tests/simulation/load_generator.cpp
+++ b/tests/simulation/load_generator.cpp
@@ -7,13 +7,13 @@
 
 namespace {
 
-constexpr double milli = 1000;        // in the sizes of tasks: millicores, megabytes
-constexpr int id_step = 7919;         // a prime, so that ids come in no order
+constexpr double milli = 1000;  // converts cores to millicores and gigabytes to megabytes
+constexpr int id_step = 7919;  // a prime, so that the order of ids differs from that of submissions
 constexpr int id_count = 1000000;     // an id has six digits
-constexpr double min_interval = 0.5;  // of the mean time between two submissions
+constexpr double min_interval = 0.5;  // multiple of the mean time between two submissions
 constexpr double max_interval = 1.5;
 
-// "5-40" or "12"
+// Returns a random value from a range such as "5-40", or the value of a single number such as "12".
 double sample_range(EventQueue& queue, const std::string& range) {
   const auto ends = split(range, '-');
   const double low = std::stod(ends.at(0));
--- a/tests/simulation/load_generator.hpp
+++ b/tests/simulation/load_generator.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Makes the jobs of a scenario's `load` statements and has the users submit them.
+/// Creates the jobs of a scenario's `load` statements and submits them through the simulated users.
 #pragma once
 
 #include "protocol/submission.hpp"
@@ -8,10 +8,10 @@
 
 namespace poppystile::simulation {
 
-/// Schedules submissions; all loads of a scenario share one sequence of job ids.
+/// Schedules submissions. All loads of a scenario share one sequence of job ids.
 class LoadGenerator {
  public:
-  /// `until`: simulated time at which loads end that name no end.
+  /// `until` is the simulated time at which a load without an `until` value ends.
   LoadGenerator(Simulation& simulation, double until) : simulation_(simulation), until_(until) {}
 
   /// Queues all submissions of one `load` statement.
--- a/tests/simulation/network_faults.hpp
+++ b/tests/simulation/network_faults.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The faults of the simulated network, as plain values that its parts read at each message.
+/// The current faults of the simulated network. Its parts read them for each message.
 #pragma once
 
 #include <set>
@@ -9,50 +9,51 @@
 
 namespace poppystile::simulation {
 
-/// Which links of one controller are interrupted, and what becomes of the messages on them.
+/// Which links of one controller are interrupted, and whether their messages are lost or held.
 struct NetworkPartition {
   bool state_service = false;
   bool workers = false;
   bool peers = false;
   bool users = false;
-  /// Only the responses to watches of the state service are held back.
+  /// Only responses to watches of the state service are held until the partition heals.
   bool watches = false;
-  /// Messages sent meanwhile are delivered when the partition heals, in place of being lost.
+  /// Messages sent during the partition are delivered when it heals, instead of being lost.
   bool deliver_on_heal = false;
-  /// The state service rejects every call with 503; open watches are held back.
+  /// Every call to the state service is rejected with 503, and responses to open watches are held.
   bool reject_state_calls = false;
 };
 
-/// A share of the messages arrives later.
+/// The fraction `share` of the messages is delayed by `delay`.
 struct AddedLatency {
   double share = 0;
   Seconds delay{0};
 };
 
-/// A share of the messages is delivered once more, after a random delay.
+/// The fraction `share` of the messages is delivered a second time, after a random delay.
 struct Duplication {
   double share = 0;
   Seconds min_delay{0};
   Seconds max_delay{0};
 };
 
-/// The faults in force now. A default-constructed value is a network without faults.
+/// The current faults. A default-constructed value means a network without faults.
 struct NetworkFaults {
-  /// Share of the state service's responses that never arrive.
+  /// Fraction of the state service's responses that are lost.
   double lost_state_responses = 0;
-  /// Share of the transactions that get no response and are carried out seconds later.
+  /// Fraction of the transactions that are executed 2 s to 12 s late and get no response.
   double delayed_writes = 0;
   AddedLatency delayed_state_responses;
   AddedLatency delayed_heartbeat_responses;
-  /// Added to each message between controllers.
+  /// Added to the latency of each message between controllers.
   Seconds peer_message_delay{0};
-  /// Of calls to the state service and the cloud, and of users' submissions and cancellations.
+  /// Duplicates calls to the state service and the cloud, and users' submissions and cancellations.
   Duplication duplicated_calls;
-  /// Of workers' heartbeats; the copy reaches any controller.
+  /// Duplicates workers' heartbeats; each duplicate arrives at a random controller.
   Duplication duplicated_heartbeats;
-  /// Workers in this zone reach only controllers in it, and the other way round; empty: none.
+  /// Workers in this zone reach only controllers in it, and other workers only controllers outside
+  /// it. Empty if no zone is isolated.
   std::string isolated_zone;
-  /// Machines whose heartbeats arrive, but which get no response.
+  /// Machines whose heartbeats arrive, but whose responses are lost.
   std::set<std::string> machines_with_lost_responses;
 };
 
--- a/tests/simulation/scenario.cpp
+++ b/tests/simulation/scenario.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 constexpr int max_printed_violations = 10;
-constexpr int default_machines = 6, default_spot_machines = 3;  // of a type, in each zone
+constexpr int default_machines = 6, default_spot_machines = 3;  // of each type, in each zone
 constexpr double default_until_s = 200;
 }  // namespace
 
--- a/tests/simulation/scenario.hpp
+++ b/tests/simulation/scenario.hpp
@@ -1,26 +1,26 @@
 /// \file
-/// One scenario: sets up a simulation as its file says, plays it, and checks the result.
+/// One scenario: sets up a simulation according to a scenario file, runs it and checks the result.
 ///
-///   simulation KEY=VALUE...       seed, seeds (how many, one after the other), until, controllers,
+///   simulation KEY=VALUE...       seed, seeds (number of consecutive seeds), until, controllers,
 ///                                 heartbeat_interval, worker_lease, cancel_timeout, state_rps,
 ///                                 state_write_rps, txn_ops, lost_state_responses, list_lag,
 ///                                 gang_start_timeout, gang_peer_timeout; next_value_kb,
-///                                 next_txn_ops, next_write_rps: limits that `lower_limits` puts
-///                                 into force
+///                                 next_txn_ops, next_write_rps: limits that are enforced from
+///                                 the action `lower_limits` on
 ///   type NAME KEY=VALUE...        cpus, memory, price, spot_price, boot, zones, count, spot,
 ///                                 fetch, cache
 ///   team NAME cpus= cpus_max=
 ///   load CLASS KEY=VALUE...       kind, team, priority, first, every, from, until, tasks, run,
 ///                                 cpus, memory, images, image_gb, spot, one_zone, spread, zone,
 ///                                 deadline, checkpoint, save, failing
-///   at SECONDS ACTION KEY=VALUE...    times=N every=SECONDS: more than once; the actions are in
+///   at SECONDS ACTION KEY=VALUE...    times=N every=SECONDS repeat the action; the actions are in
 ///                                 scenario_actions.cpp
 ///   expect NAME OP NUMBER         the names are in scenario_expectations.cpp; OP is >= or <=
 ///
-/// All times are in seconds. A controller is any, leader, follower, others (all but the leader, for
-/// partitions), all (for crashes) or a number. Once the last fault is over, every accepted job must
-/// get responses again, and none may wait beside room that fits it; and no class, team or class's
-/// largest jobs may be left out.
+/// All times are in seconds. A controller is any, leader, follower, others (all but the leader,
+/// only for partitions), all (only for crashes) or a number. After the last fault has ended,
+/// queries for every accepted job must get responses again, and no job may wait while a machine has
+/// room for it. No class, no team and not the largest jobs of a class may be starved.
 #pragma once
 
 #include <memory>
@@ -33,17 +33,17 @@
 
 namespace poppystile::simulation {
 
-/// A scenario file with one of its seeds.
+/// One run of a scenario file, with one of its seeds.
 class Scenario {
  public:
-  /// `seed_index`: the seed is so many above the file's. Throws std::runtime_error when the file
-  /// cannot be read.
+  /// Uses the file's seed plus `seed_index`. Throws std::runtime_error if the file cannot be read.
   Scenario(const std::string& path, int seed_index);
 
-  /// How many seeds the file asks for.
+  /// Number of seeds with which the file must be run.
   int seeds() const { return seeds_; }
-  /// Plays the scenario, and prints violations and expectations that were not met. True when there
-  /// were none. To be called once. Throws std::runtime_error for an unknown action or expectation.
+  /// Runs the scenario and prints the violated invariants and unmet expectations. Returns true if
+  /// there were none. Must be called once. Throws std::runtime_error for an unknown action or
+  /// expectation.
   bool play();
 
  private:
--- a/tests/simulation/scenario_actions.cpp
+++ b/tests/simulation/scenario_actions.cpp
@@ -16,7 +16,7 @@
 constexpr double default_duration_s = 10;
 constexpr double default_restart_s = 5;
 constexpr double default_max_duplicate_delay_s = 40;
-constexpr Seconds max_write_delay{12};  // after which a delayed write has been carried out
+constexpr Seconds max_write_delay{12};  // every delayed write has been executed after this time
 
 Seconds duration_of(const Statement& statement) {
   return statement.seconds("duration", default_duration_s);
@@ -51,7 +51,7 @@
           statement.seconds("max_delay", default_max_duplicate_delay_s)};
 }
 
-// The effects of a fault of this duration last so much longer.
+// Declares that the fault has effects until `aftermath` after its end.
 void extend_fault(Simulation& simulation, const Statement& statement, Seconds aftermath) {
   simulation.invariants().expect_faults_until(simulation.queue().now() +
                                               duration_of(statement).count() + aftermath.count());
@@ -96,7 +96,8 @@
     simulation.faults().lower_state_limits(*limits);
 }
 
-// The machines that run the cancelled jobs hang for `hang` seconds, if it is given.
+// If the statement has a `hang` value, the machines of the cancelled jobs hang for that many
+// seconds.
 void cancel_running(Simulation& simulation, const Statement& statement) {
   const auto machines =
       simulation.users().cancel_running(count_of(statement), statement.text("class", ""));
--- a/tests/simulation/scenario_actions.hpp
+++ b/tests/simulation/scenario_actions.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What the `at` statements of a scenario do: faults, and users' requests.
+/// The actions of a scenario's `at` statements: faults and users' requests.
 #pragma once
 
 #include "simulation/scenario_file.hpp"
@@ -7,7 +7,8 @@
 
 namespace poppystile::simulation {
 
-/// Performs the action of an `at` statement now. Throws std::runtime_error for an unknown one.
+/// Performs the action of an `at` statement now. Throws std::runtime_error if the action is
+/// unknown.
 void perform_action(Simulation& simulation, const Statement& statement);
 
 }  // namespace poppystile::simulation
--- a/tests/simulation/scenario_expectations.cpp
+++ b/tests/simulation/scenario_expectations.cpp
@@ -64,7 +64,7 @@
   for (const auto* measures : {&job_measures(), &service_measures()})
     if (const auto found = measures->find(name); found != measures->end())
       return found->second(simulation);
-  throw std::runtime_error("unknown expectation " + name);
+  throw std::runtime_error("unknown measure in an expect statement: " + name);
 }
 
 }  // namespace poppystile::simulation
--- a/tests/simulation/scenario_expectations.hpp
+++ b/tests/simulation/scenario_expectations.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What the `expect` statements of a scenario can measure.
+/// The measures that a scenario's `expect` statements refer to.
 #pragma once
 
 #include <string>
@@ -8,8 +8,8 @@
 
 namespace poppystile::simulation {
 
-/// The value of this name in a simulation that has been played. Throws std::runtime_error for an
-/// unknown name.
+/// Returns the value of the measure with this name after a simulation has run. Throws
+/// std::runtime_error if the name is unknown.
 double measure(Simulation& simulation, const std::string& name);
 
 }  // namespace poppystile::simulation
--- a/tests/simulation/scenario_file.cpp
+++ b/tests/simulation/scenario_file.cpp
@@ -29,7 +29,7 @@
 
 std::vector<Statement> read_scenario_file(const std::string& path) {
   std::ifstream file(path);
-  if (!file) throw std::runtime_error("cannot read " + path);
+  if (!file) throw std::runtime_error("cannot open scenario file " + path);
   std::vector<Statement> out;
   int number = 0;
   for (std::string text; std::getline(file, text);) {
--- a/tests/simulation/scenario_file.hpp
+++ b/tests/simulation/scenario_file.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Reads scenario files: one statement a line, words first, then KEY=VALUE pairs; `#` begins a
-/// comment.
+/// Reads scenario files. Each line is one statement: words, followed by KEY=VALUE pairs. `#` begins
+/// a comment.
 #pragma once
 
 #include <map>
@@ -17,7 +17,7 @@
   std::vector<std::string> words;
   std::map<std::string, std::string> values;
 
-  /// The value of the key, or `otherwise` if the statement does not have it.
+  /// Returns the value of the key, or `default_value` if the statement does not have the key.
   std::string text(const std::string& key, const std::string& default_value) const;
   double number(const std::string& key, double default_value) const;
   int count(const std::string& key, int default_value) const;
@@ -28,10 +28,10 @@
   bool flag(const std::string& key) const { return text(key, "false") == "true"; }
 };
 
-/// Reads all statements of a file. Throws std::runtime_error when it cannot be read.
+/// Reads all statements of a file. Throws std::runtime_error if the file cannot be read.
 std::vector<Statement> read_scenario_file(const std::string& path);
 
-/// The parts of `text` between separators.
+/// Returns the parts of `text` between separators.
 std::vector<std::string> split(const std::string& text, char separator);
 
 }  // namespace poppystile::simulation
--- a/tests/simulation/scenario_settings.cpp
+++ b/tests/simulation/scenario_settings.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-constexpr double milli = 1000;  // in the sizes of machines: millicores, megabytes
+constexpr double milli = 1000;  // converts cores to millicores and gigabytes to megabytes
 
 void read_simulation(const Statement& statement, SimulationSettings& out) {
   out.seed = static_cast<std::uint64_t>(statement.number("seed", 1));
--- a/tests/simulation/scenario_settings.hpp
+++ b/tests/simulation/scenario_settings.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Reads the statements of a scenario that set up the simulation.
+/// Reads the statements of a scenario that configure the simulation.
 #pragma once
 
 #include <vector>
@@ -10,9 +10,9 @@
 
 namespace poppystile::simulation {
 
-/// From the statements `simulation` and `team`; what they leave out has a default.
+/// Reads the `simulation` and `team` statements. A missing value gets its default.
 SimulationSettings read_settings(const std::vector<Statement>& statements);
-/// From a statement `type`.
+/// Reads a `type` statement. A missing value gets its default.
 protocol::MachineType read_machine_type(const Statement& statement);
 
 }  // namespace poppystile::simulation
--- a/tests/simulation/simulated_users.cpp
+++ b/tests/simulation/simulated_users.cpp
@@ -14,9 +14,9 @@
 constexpr Seconds request_timeout{5};
 constexpr Seconds poll_timeout{2};
 constexpr Seconds poll_interval{5};
-constexpr double finished_poll_factor = 10;  // finished jobs are polled more seldom
+constexpr double finished_poll_factor = 10;  // multiple of poll_interval for finished jobs
 constexpr Seconds retry_delay{1};
-constexpr Seconds connect_timeout{0.5};  // when no controller can be reached
+constexpr Seconds connect_timeout{0.5};  // until a call fails if no controller can be reached
 constexpr Seconds latency{0.002};        // one way
 constexpr Seconds max_cancel_delay{0.01};
 constexpr Seconds unusual_request_interval{0.4};
@@ -66,7 +66,7 @@
   to.deliver([&to, request, respond] { to.handle(request, respond); });
 }
 
-// The copy of a request that was carried out reaches any controller.
+// Delivers a second copy of an executed request to a random controller, after a random delay.
 void SimulatedUsers::duplicate(const HttpRequest& request) {
   queue_.after(
       queue_.uniform(faults_.duplicated_calls.min_delay, faults_.duplicated_calls.max_delay),
@@ -169,13 +169,13 @@
   });
 }
 
-// By turns a task that fits no machine, and a submission without one of its required fields.
+// Alternates between a submission whose task fits no machine and one without a required field.
 void SimulatedUsers::submit_invalid(int request_number, const std::string& valid_body) {
   protocol::Json body = protocol::parse_object(valid_body);
   char id[16];
   std::snprintf(id, sizeof(id), "req-9%06d", request_number);
   body["id"] = id;
-  std::string defect = "a task fits nowhere";
+  std::string defect = "a task fits no machine";
   if (request_number % unusual_request_kinds == 1) {
     body["cores"] = impossible_cores;
   } else {
--- a/tests/simulation/simulated_users.hpp
+++ b/tests/simulation/simulated_users.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The users of a simulation: they submit, poll and cancel jobs, and repeat themselves.
+/// The users of a simulation: they submit, poll and cancel jobs, and repeat requests.
 #pragma once
 
 #include <functional>
@@ -15,31 +15,35 @@
 
 namespace poppystile::simulation {
 
-/// Sends users' requests to random controllers, and reports each response to the checker.
+/// Sends users' requests to random controllers and reports each response to the invariant checker.
 class SimulatedUsers {
  public:
   using OnCancellationConfirmed = std::function<void(ControllerProcess& confirming_controller)>;
 
-  /// `on_cancellation_confirmed` runs when a controller has confirmed a cancellation.
+  /// `on_cancellation_confirmed` runs each time a controller has confirmed a cancellation.
   SimulatedUsers(EventQueue& queue, const NetworkFaults& faults, InvariantChecker& invariants,
                  ControllerCluster& cluster, OnCancellationConfirmed on_cancellation_confirmed);
 
-  /// Submits the job until it is accepted or refused, and polls it from then on.
+  /// Submits the job repeatedly until it is accepted or refused. Polls an accepted job until the
+  /// end of the simulation.
   void submit(const protocol::JobSpec& job);
-  /// Submits a known job again.
+  /// Submits a job again that was submitted before.
   void resubmit(const std::string& job);
-  /// Cancels the job; asks again until it gets a response.
+  /// Cancels the job. Repeats the request until it gets status 200 or 404.
   void cancel(const std::string& job);
-  /// Asks for a job that was never submitted.
+  /// Queries a job that was never submitted.
   void query_unknown(const std::string& job);
-  /// Cancels `count` running jobs at once, of this class unless it is empty. Returns the machines
-  /// that they run on.
+  /// Cancels up to `count` running jobs at once; only jobs of `job_class`, unless it is empty.
+  /// Returns the machines on which they run.
   std::set<std::string> cancel_running(int count, const std::string& job_class);
-  /// This share of the jobs is cancelled at the moment at which its last task completes.
+  /// During `duration`, cancels each job whose last task completes with the probability `share`,
+  /// within 10 ms of the completion.
   void cancel_on_completion(double share, Seconds duration);
-  /// Submissions of unfinished jobs once more, cancellations of finished ones, invalid requests.
+  /// During `duration`, repeats submissions of unfinished jobs, cancels finished jobs and sends
+  /// invalid submissions.
   void send_unusual_requests(Seconds duration);
-  /// A job of the class, finished or not, in the latter case not cancelled; empty when none fits.
+  /// Returns a job of the class that is finished or, if `finished` is false, one that is neither
+  /// finished nor cancelled. Empty if there is none.
   std::string find_job(const std::string& job_class, bool finished) const;
 
  private:
--- a/tests/simulation/simulation.cpp
+++ b/tests/simulation/simulation.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 constexpr Seconds cancellation_check_interval{0.5};
-// Finds a new leader before it has read the journal.
+// Short enough to find a new leader before it has replayed the journal.
 constexpr Seconds leader_check_interval{0.001};
-// Shorter than a slot stays empty between two tasks.
+// Shorter than the time for which a slot stays empty between two tasks.
 constexpr Seconds waiting_check_interval{1};
 constexpr double millicores_per_cpu = 1000;
 
--- a/tests/simulation/simulation.hpp
+++ b/tests/simulation/simulation.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// A whole cluster in simulated time: controllers (the real code), state service, cloud, workers,
-/// users and faults.
+/// A whole cluster in simulated time: controllers (the production code), state service, cloud,
+/// workers, users and faults.
 #pragma once
 
 #include "simulation/cloud.hpp"
@@ -18,13 +18,13 @@
 
 namespace poppystile::simulation {
 
-/// Creates and connects the parts of a simulation. All randomness comes from the queue, so that a
-/// run with the same settings and the same events is the same run.
+/// Creates and connects the parts of a simulation. All randomness comes from the event queue, so
+/// that runs with the same settings and the same events are identical.
 class Simulation {
  public:
   explicit Simulation(const SimulationSettings& settings);
 
-  /// Starts the controllers and the periodic checks. Events may be queued before.
+  /// Starts the controllers and the periodic checks. Events may be queued before the start.
   void start();
 
   const SimulationSettings& settings() const { return settings_; }
--- a/tests/simulation/simulation_settings.hpp
+++ b/tests/simulation/simulation_settings.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What a simulation is set up with.
+/// The settings of a simulation, and the controllers' settings derived from them.
 #pragma once
 
 #include <cstdint>
@@ -23,22 +23,22 @@
   double state_rps = 250;
   double state_write_rps = 40;
   int txn_ops = 32;
-  /// Of the settings' `state.next`; the controllers know them from the start.
+  /// The limits under `state.next` in the controllers' settings, from the start of the simulation.
   std::optional<protocol::StateLimits> next_limits;
-  /// How far the cloud's list of machines lags behind.
+  /// Lag of the cloud's machine lists; each list is between half and twice as old.
   Seconds list_lag{3};
-  /// Share of the state service's responses that never arrive.
+  /// Fraction of the state service's responses that are lost.
   double lost_state_responses = 0;
   GangTiming gang_timing;
   std::vector<std::string> zones = {"a", "b"};
   std::vector<protocol::TeamSettings> teams;
 };
 
-/// The name of the controller with this number, as workers and peers know it.
+/// The name of the controller with this number in the settings of workers and peers.
 std::string controller_name(int number);
-/// The settings file's content for the controller with this number.
+/// The settings of the controller with this number.
 protocol::Settings controller_settings(const SimulationSettings& simulation, int number);
-/// Where the controllers find the state service; every other call goes to the cloud.
+/// The address of the state service. Controllers' calls to any other address go to the cloud.
 const transport::Endpoint& state_service_endpoint();
 
 }  // namespace poppystile::simulation
--- a/tests/simulation/state_service.cpp
+++ b/tests/simulation/state_service.cpp
@@ -209,7 +209,7 @@
   respond({200, "{}"});
 }
 
-// The lease gets its full time from now on.
+// Renews the lease for its full time to live.
 void StateService::schedule_expiry(std::uint64_t id) {
   Lease& lease = leases_.at(id);
   lease.expires_at = queue_.now() + lease.ttl_s;
--- a/tests/simulation/state_service.hpp
+++ b/tests/simulation/state_service.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// Simulated state service, after PROTOCOL: revisions, conditions, leases, watches, limits.
+/// Simulated state service, as PROTOCOL specifies it: revisions, conditions, leases, watches,
+/// limits.
 #pragma once
 
 #include <cstddef>
@@ -18,29 +19,32 @@
 
 namespace poppystile::simulation {
 
-/// A key-value store with compare-and-swap transactions, leases that delete their keys when they
-/// expire, and long-polling watches.
+/// A key-value store with compare-and-swap transactions, leases whose keys are deleted when the
+/// lease expires, and long-polling watches.
 class StateService {
  public:
   using OnResponse = std::function<void(transport::HttpResponse)>;
 
-  /// Takes so many requests and so many written keys a second, and so many changes a transaction.
+  /// Accepts `rps` requests and `write_rps` changes a second, and `txn_ops` changes in a
+  /// transaction.
   StateService(EventQueue& queue, double rps, double write_rps, int txn_ops);
 
-  /// Handles one request. `respond` runs at once, but for watches, which wait for a change.
+  /// Handles one request. Calls `respond` before it returns; for a watch, when a key has changed or
+  /// the watch's timeout has passed.
   void handle(const transport::HttpRequest& request, const OnResponse& respond);
-  /// While down, every request gets a 503. Afterwards each lease has its full time again.
+  /// While the service is down, it responds to every request with 503. When it is up again, every
+  /// lease gets its full time to live.
   void set_down(bool down);
-  /// Holds for requests from now on; what is stored stays.
+  /// Sets the limits for later requests. Stored values are kept even if they exceed the limits.
   void set_limits(double write_rps, int txn_ops, double value_kb);
   bool has(const std::string& key) const { return items_.contains(key); }
-  /// Requests refused with 429, since they exceeded a rate.
+  /// Number of requests refused with 429 because they exceeded a rate limit.
   std::uint64_t refused() const { return refused_; }
-  /// Transactions refused with 400, since they exceeded a size.
+  /// Number of transactions refused with 400 because they exceeded a size limit.
   std::uint64_t invalid() const { return invalid_; }
-  /// Requests that were not refused for their rate.
+  /// Number of requests within the request rate limit.
   std::uint64_t requests() const { return requests_; }
-  /// Writes and removals in transactions, those included that were not carried out.
+  /// Number of writes and removals in transactions, including transactions that were not executed.
   std::uint64_t changes() const { return changes_; }
 
  private:
@@ -100,7 +104,7 @@
   std::vector<std::shared_ptr<Watch>> watches_;
 };
 
-/// The parameters of a request's target, as in "path?a=1&b=2".
+/// Returns the query parameters of a request's target, such as "path?a=1&b=2".
 std::map<std::string, std::string> query_of(const std::string& target);
 
 }  // namespace poppystile::simulation
--- a/tests/simulation/task_runner.cpp
+++ b/tests/simulation/task_runner.cpp
@@ -8,10 +8,10 @@
 namespace poppystile::simulation {
 
 namespace {
-constexpr Seconds failure_delay{0.5};  // from the start to the exit of a task that fails
+constexpr Seconds failure_delay{0.5};  // from the start of a failing task to its exit
 constexpr double wake_up_delay_s = 0.01;
-constexpr double min_run_factor = 0.6, max_run_factor = 1.4;      // of the estimated run time
-constexpr double min_fetch_factor = 0.8, max_fetch_factor = 1.3;  // of an image's fetch time
+constexpr double min_run_factor = 0.6, max_run_factor = 1.4;  // multiples of the estimated run time
+constexpr double min_fetch_factor = 0.8, max_fetch_factor = 1.3;  // multiples of the fetch time
 }  // namespace
 
 TaskRunner::TaskRunner(EventQueue& queue, InvariantChecker& invariants, Gangs& gangs,
@@ -135,7 +135,7 @@
     tasks_.erase(tasks_.begin() + (task - tasks_.data()));
 }
 
-// The image is there.
+// Places the task on the machine when its image has been fetched.
 void TaskRunner::begin(std::uint64_t run) {
   Task* task = find_unexited(run);
   if (!is_up_ || task == nullptr) return;
--- a/tests/simulation/task_runner.hpp
+++ b/tests/simulation/task_runner.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The tasks of one simulated worker: images, runs, exits.
+/// The tasks of one simulated worker: image fetches, runs and exits.
 #pragma once
 
 #include <cstdint>
@@ -16,36 +16,39 @@
 
 namespace poppystile::simulation {
 
-/// Starts and stops tasks on one machine and tells the checker what is on it. While the machine
-/// hangs, nothing begins or ends; what is due then happens right after.
+/// Starts and stops tasks on one machine and reports them to the invariant checker. While the
+/// machine hangs, no task begins or ends; events that become due meanwhile run right after the
+/// hang.
 class TaskRunner : public GangHost {
  public:
-  /// `on_change` runs whenever a task has reached another stage.
+  /// `on_change` runs each time a task has changed its stage.
   TaskRunner(EventQueue& queue, InvariantChecker& invariants, Gangs& gangs, HostMachine host,
              protocol::MachineType type, std::function<void()> on_change);
 
-  /// Starts an attempt of a task; it exits at once if it is unknown, runs already or has no room.
-  /// Does nothing if the attempt is known.
+  /// Starts an attempt of a task. The attempt exits at once if its job is unknown, another attempt
+  /// of the task has not exited, or the machine has no room. Does nothing if this attempt exists
+  /// already.
   void start(const std::string& task_name, std::uint64_t attempt);
-  /// Stops an attempt; a gang's task gets `grace` to save its progress.
+  /// Stops an attempt. A task of a gang has the time `grace` to save its progress. Does nothing if
+  /// the attempt does not exist or has exited.
   void stop(const std::string& task_name, std::uint64_t attempt, Seconds grace);
-  /// Forgets an attempt that has exited.
+  /// Removes an exited attempt from the list of tasks.
   void forget(const std::string& task_name, std::uint64_t attempt);
-  /// Removes all tasks at once.
+  /// Removes all tasks immediately.
   void kill_all();
-  /// The machine is gone, with all its tasks.
+  /// Stops the machine and removes all of its tasks. No task begins or ends afterwards.
   void shut_down();
 
   void hang(Seconds duration) { hanging_until_ = queue_.now() + duration.count(); }
   bool is_hanging() const override { return queue_.now() < hanging_until_; }
-  /// Simulated time at which it hangs no longer.
+  /// Simulated time, in seconds, at which the latest hang ends.
   double hanging_until() const { return hanging_until_; }
-  /// Whether every task that starts now fails.
+  /// Sets whether every task that starts from now on fails.
   void set_tasks_fail(bool fail) { tasks_fail_ = fail; }
   bool do_tasks_fail() const { return tasks_fail_; }
-  /// What is not taken by tasks that have not exited.
+  /// The machine's resources minus those of the tasks that have not exited.
   protocol::Resources free_resources() const;
-  /// The tasks as a heartbeat carries them.
+  /// Encodes the tasks for a heartbeat.
   protocol::Json encode_tasks() const;
 
  private:
@@ -54,10 +57,10 @@
     std::uint32_t index = 0;
     std::uint64_t attempt = 0;
     std::string stage;  // pulling, waiting, running, exited
-    std::string cause;  // of the exit
+    std::string cause;  // reason of the exit
     bool saved = false;
     protocol::Resources resources;
-    std::uint64_t run = 0;  // unique on this machine: tells whether a timer still concerns it
+    std::uint64_t run = 0;  // unique on this machine; identifies the run that a timer belongs to
   };
 
   void start_gang_task(std::uint64_t run) override;
@@ -86,7 +89,7 @@
   double hanging_until_ = 0;  // simulated time
   std::uint64_t last_run_ = 0;
   std::vector<Task> tasks_;
-  std::map<std::string, double> images_;  // simulated time at which each is, or will be, there
+  std::map<std::string, double> images_;  // by name: simulated time at which the fetch ends
 };
 
 }  // namespace poppystile::simulation
--- a/tests/simulation/worker.cpp
+++ b/tests/simulation/worker.cpp
@@ -7,7 +7,7 @@
 using transport::HttpResponse;
 
 namespace {
-constexpr Seconds response_timeout{4};       // PROTOCOL: then the next controller is tried
+constexpr Seconds response_timeout{4};  // PROTOCOL; afterwards the worker tries the next controller
 constexpr Seconds next_controller_delay{1};  // PROTOCOL
 constexpr double min_heartbeat_gap_s = 0.5;  // PROTOCOL: between heartbeats on change
 constexpr Seconds lease_check_interval{0.1};
@@ -73,7 +73,7 @@
 void Worker::check_lease() {
   if (!is_up_) return;
   queue_.after(lease_check_interval, [this] { check_lease(); });
-  // A machine loses its tasks at the lease's end whether or not it hangs.
+  // The lease expires, and the tasks are killed, even while the machine hangs.
   if (queue_.now() - lease_renewed_at_ > timing_.lease.count()) expire_lease();
 }
 
@@ -113,7 +113,7 @@
     return send_heartbeat_after(Seconds{tasks_.hanging_until() - queue_.now()} + wake_up_delay);
   const std::uint64_t number = in_flight_ = ++last_heartbeat_number_;
   const double sent_at = last_heartbeat_at_ = queue_.now();
-  // A heartbeat that cannot leave has its sequence number all the same.
+  // A blocked heartbeat also consumes a sequence number.
   const std::string body = encode_heartbeat();
   if (queue_.now() >= heartbeats_blocked_until_)
     send_(controllers_[controller_], *this, body,
@@ -143,7 +143,7 @@
 
 void Worker::handle_response(std::uint64_t heartbeat, std::uint64_t incarnation, double sent_at,
                              const HttpResponse& response) {
-  if (in_flight_ != heartbeat) return;  // its timeout is over
+  if (in_flight_ != heartbeat) return;  // this heartbeat has timed out
   in_flight_ = 0;
   if (response.status == 421) return handle_redirect(response);
   if (response.status != 200) return try_next_controller();
--- a/tests/simulation/worker.hpp
+++ b/tests/simulation/worker.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Simulated worker, after PROTOCOL: heartbeats, commands, tokens, incarnations, leases.
+/// Simulated worker, as PROTOCOL specifies it: heartbeats, commands, tokens, incarnations, leases.
 #pragma once
 
 #include <algorithm>
@@ -18,18 +18,18 @@
 
 namespace poppystile::simulation {
 
-/// The settings that a worker shares with the controllers.
+/// The settings that must be equal on workers and controllers.
 struct WorkerTiming {
   Seconds heartbeat_interval{1};
   Seconds lease{10};
 };
 
-/// One machine that sends heartbeats to a controller, follows its commands, and ends all tasks when
-/// its lease expires.
+/// The worker on one machine: sends heartbeats to a controller, executes the commands in the
+/// responses and kills all of its tasks when its lease expires.
 class Worker {
  public:
   using OnResponse = std::function<void(transport::HttpResponse)>;
-  /// Sends a heartbeat to the controller of this name; the network decides what becomes of it.
+  /// Sends a heartbeat to the controller with this name. The network may lose it or its response.
   using Send = std::function<void(const std::string& controller, const Worker& from,
                                   const std::string& body, const OnResponse& on_response)>;
 
@@ -37,27 +37,29 @@
          const protocol::MachineType& type, const WorkerTiming& timing,
          std::vector<std::string> controllers, Send send);
 
-  /// Sends the first heartbeat, to a random controller, and begins the first lease.
+  /// Sends the first heartbeat to a random controller and begins the first lease.
   void start();
-  /// The machine is gone.
+  /// Stops the worker and removes its tasks, since its machine has been removed.
   void stop();
   const HostMachine& host() const { return host_; }
-  /// How many tasks of this job it could start now.
+  /// Number of tasks of this job that the worker could start now; zero if the job's placement
+  /// constraints exclude the machine.
   std::int64_t room_for(const protocol::JobSpec& spec) const;
 
   // Faults.
 
-  /// The machine stands still; its lease goes on.
+  /// Makes the machine hang: it sends and executes nothing, but its lease keeps running.
   void hang(Seconds duration);
-  /// Whether every task that starts from now on fails.
+  /// Sets whether every task that starts from now on fails.
   void set_tasks_fail(bool fail) { tasks_.set_tasks_fail(fail); }
-  /// The cloud will take the machine back after this time.
+  /// Notifies the worker that the cloud will reclaim its machine after this time.
   void give_preemption_notice(Seconds until_preemption);
-  /// Its heartbeats reach no controller.
+  /// During `duration`, the worker's heartbeats reach no controller.
   void block_heartbeats(Seconds duration);
-  /// A fault of this duration explains lease expirations, up to a while after it.
+  /// Declares a fault of this duration that explains lease expirations until two worker leases
+  /// after its end.
   void expect_lease_expiry(Seconds duration);
-  /// Leases that expired without such an explanation.
+  /// Number of leases that expired without such a fault.
   std::uint64_t unexplained_lease_expirations() const { return unexplained_lease_expirations_; }
 
  private:
@@ -79,14 +81,14 @@
   HostMachine host_;
   WorkerTiming timing_;
   std::vector<std::string> controllers_;
-  std::size_t controller_ = 0;  // index of the one it sends to
+  std::size_t controller_ = 0;  // index of the controller that gets its heartbeats
   Send send_;
   TaskRunner tasks_;
   bool is_up_ = true;
   // Simulated times.
   double expiry_expected_until_ = 0;
   double heartbeats_blocked_until_ = 0;
-  double preemption_at_ = -1;  // negative: no notice
+  double preemption_at_ = -1;  // negative without a notice
   double lease_renewed_at_ = 0;
   double last_heartbeat_at_ = -100;
   double next_heartbeat_at_ = 0;
@@ -95,7 +97,7 @@
   std::uint64_t sequence_ = 0;
   std::uint64_t token_ = 0;
   std::uint64_t last_heartbeat_number_ = 0;
-  std::uint64_t in_flight_ = 0;  // number of the heartbeat waited for; 0: none
+  std::uint64_t in_flight_ = 0;  // number of the heartbeat that waits for its response; 0 if none
 };
 
 }  // namespace poppystile::simulation
--- a/tests/simulation/worker_fleet.hpp
+++ b/tests/simulation/worker_fleet.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The workers on the machines that the simulated cloud has rented out.
+/// The workers on the rented machines of the simulated cloud.
 #pragma once
 
 #include <map>
@@ -13,24 +13,26 @@
 
 namespace poppystile::simulation {
 
-/// Owns the workers: each starts when its machine has booted and stops when it is removed.
+/// Owns the workers. Each worker starts when its machine has booted and stops when its machine is
+/// removed.
 class WorkerFleet {
  public:
-  /// `controllers`: their names, as the workers know them. `send` transmits a heartbeat. Registers
-  /// itself with the cloud, which must not outlive it in use.
+  /// `controllers` are the names to which workers send heartbeats; `send` transmits a heartbeat.
+  /// Sets the cloud's handlers, so that the cloud must not be used after the fleet's destruction.
   WorkerFleet(EventQueue& queue, InvariantChecker& invariants, Gangs& gangs, Cloud& cloud,
               const WorkerTiming& timing, std::vector<std::string> controllers, Worker::Send send);
 
-  /// The workers that are up, by machine.
+  /// The running workers, by machine.
   const std::map<std::string, std::unique_ptr<Worker>>& workers() const { return workers_; }
-  /// Null when the machine is not up.
+  /// Returns the running worker on this machine, or null if there is none.
   Worker* find(const std::string& machine) const;
-  /// `count` different workers at random, or all if there are fewer.
+  /// Returns `count` different random workers, or all workers if there are fewer.
   std::vector<Worker*> sample(int count) const;
-  /// A machine that the job could start on now; a gang counts the room of its whole zone or of
-  /// all machines. Empty when there is none.
+  /// Returns a machine on which the job could start now, or an empty string if there is none. A
+  /// gang needs room for all of its tasks: in one zone if the job requires it, otherwise on all
+  /// machines.
   std::string machine_with_room_for(const protocol::JobSpec& spec) const;
-  /// Leases that expired without a fault of the machine, or of its network, that explains it.
+  /// Number of leases that expired without a fault of the machine or of its network.
   std::uint64_t unexplained_lease_expirations() const;
 
  private:
@@ -44,7 +46,7 @@
   std::vector<std::string> controllers_;
   Worker::Send send_;
   std::map<std::string, std::unique_ptr<Worker>> workers_;
-  std::vector<std::unique_ptr<Worker>> removed_;  // events may still refer to them
+  std::vector<std::unique_ptr<Worker>> removed_;  // kept because events may still refer to them
 };
 
 }  // namespace poppystile::simulation
