--- a/tests/simulation/run_scenario.cpp
+++ b/tests/simulation/run_scenario.cpp
@@ -14,13 +14,13 @@
 
 constexpr int exit_usage = 2;
 
-bool play_all_seeds(const std::string& path) {
+bool run_all_seeds(const std::string& path) {
   bool passed = true;
   int seeds = 1;
   for (int seed_index = 0; seed_index < seeds; ++seed_index) {
     poppystile::simulation::Scenario scenario(path, seed_index);
     seeds = scenario.seeds();
-    passed = scenario.play() && passed;
+    passed = scenario.run() && passed;
   }
   return passed;
 }
@@ -36,7 +36,7 @@
   spdlog::set_default_logger(spdlog::stderr_logger_st("scenario"));
   spdlog::set_level(level == nullptr ? spdlog::level::off : spdlog::level::from_str(level));
   try {
-    return play_all_seeds(argv[1]) ? EXIT_SUCCESS : EXIT_FAILURE;
+    return run_all_seeds(argv[1]) ? EXIT_SUCCESS : EXIT_FAILURE;
   } catch (const std::exception& problem) {
     std::cerr << argv[1] << ": " << problem.what() << "\n";
     return exit_usage;
--- a/tests/simulation/scenario.cpp
+++ b/tests/simulation/scenario.cpp
@@ -32,7 +32,7 @@
   }
 }
 
-bool Scenario::play() {
+bool Scenario::run() {
   simulation_->start();
   simulation_->queue().run_until(until_);
   InvariantChecker& invariants = simulation_->invariants();
--- a/tests/simulation/scenario.hpp
+++ b/tests/simulation/scenario.hpp
@@ -44,7 +44,7 @@
   /// Runs the scenario and prints the violated invariants and unmet expectations. Returns true if
   /// there were none. Must be called once. Throws std::runtime_error for an unknown action or
   /// expectation.
-  bool play();
+  bool run();
 
  private:
   void add_machine_type(const Statement& statement);
