--- a/tests/unit/simulation_test.cpp
+++ b/tests/unit/simulation_test.cpp
@@ -61,7 +61,7 @@
     checker.record_submission(job);
   }
 
-  /// How many violations name this invariant.
+  /// Returns the number of recorded violations of this invariant.
   std::size_t violations_of(simulation::Invariant invariant) const {
     std::size_t count = 0;
     for (const auto& violation : checker.violations())
@@ -111,7 +111,7 @@
   EXPECT_EQ(violations_of(simulation::Invariant::team_quota), 1U);
 }
 
-TEST_F(InvariantCheckerTest, AcceptedJobMustStayKnownAndDoneMustStayDone) {
+TEST_F(InvariantCheckerTest, LostJobUncompletedDoneJobAndChangedDoneStateAreViolations) {
   checker.record_response(job.id, 404, "", RequestKind::query);
   EXPECT_TRUE(checker.violations().empty());
   checker.record_response(job.id, 201, "queued", RequestKind::submission);
@@ -161,7 +161,7 @@
   EXPECT_EQ(booted, 1);
 }
 
-TEST_F(CloudTest, RentsNoMoreThanItHas) {
+TEST_F(CloudTest, RentsAtMostTheAvailableMachines) {
   const auto response = rent("r-1", 5);
   EXPECT_EQ(protocol::parse_object(response.body).at("stiles").size(), 2U);
   EXPECT_EQ(rent("r-2", 1).status, 503);
@@ -183,26 +183,26 @@
 TEST_F(SimulationTest, CrashedLeaderIsReplacedAndRestarts) {
   simulation.start();
   run_until(20);
-  simulation::ControllerProcess* former = simulation.controllers().leader();
-  ASSERT_NE(former, nullptr);
-  former->crash(Seconds{40});
-  EXPECT_FALSE(former->is_running());
+  simulation::ControllerProcess* former_leader = simulation.controllers().leader();
+  ASSERT_NE(former_leader, nullptr);
+  former_leader->crash(Seconds{40});
+  EXPECT_FALSE(former_leader->is_running());
   run_until(55);
   ASSERT_NE(simulation.controllers().leader(), nullptr);
-  EXPECT_NE(simulation.controllers().leader(), former);
+  EXPECT_NE(simulation.controllers().leader(), former_leader);
   run_until(61);
-  EXPECT_TRUE(former->is_running());
+  EXPECT_TRUE(former_leader->is_running());
 }
 
 TEST_F(SimulationTest, PausedProcessRunsMessagesWhenItResumes) {
   simulation.start();
-  int arrived = 0;
+  int delivered = 0;
   controller("0").pause(Seconds{5});
-  controller("0").deliver([&arrived] { ++arrived; });
+  controller("0").deliver([&delivered] { ++delivered; });
   run_until(4.9);
-  EXPECT_EQ(arrived, 0);
+  EXPECT_EQ(delivered, 0);
   run_until(5.1);
-  EXPECT_EQ(arrived, 1);
+  EXPECT_EQ(delivered, 1);
 }
 
 TEST_F(SimulationTest, PartitionHealsAndDeliversHeldMessages) {
@@ -210,17 +210,17 @@
   simulation::NetworkPartition partition;
   partition.workers = partition.deliver_on_heal = true;
   simulation.faults().partition(controller("0"), partition, Seconds{5});
-  int arrived = 0;
-  controller("0").hold([&arrived] { ++arrived; });
+  int delivered = 0;
+  controller("0").hold([&delivered] { ++delivered; });
   run_until(4.9);
   EXPECT_TRUE(controller("0").partition().workers);
-  EXPECT_EQ(arrived, 0);
+  EXPECT_EQ(delivered, 0);
   run_until(5.1);
   EXPECT_FALSE(controller("0").partition().workers);
-  EXPECT_EQ(arrived, 1);
+  EXPECT_EQ(delivered, 1);
 }
 
-TEST_F(SimulationTest, PendingCrashHitsTheNextLeader) {
+TEST_F(SimulationTest, PendingCrashAppliesToTheNextLeader) {
   simulation.faults().crash_next_leader(Seconds{100});
   simulation.start();
   EXPECT_TRUE(simulation.faults().awaits_leader());
