--- a/tests/simulation/fault_injector.cpp
+++ b/tests/simulation/fault_injector.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 constexpr int max_hanging_machines = 8;  // in hang_machines with a set of machines
-constexpr Seconds crash_delay{
-    0.0001};  // a controller must not be destroyed during a call of its own method
+// A controller must not be destroyed while one of its methods runs.
+constexpr Seconds crash_delay{0.0001};
 }  // namespace
 
 FaultInjector::FaultInjector(EventQueue& queue, NetworkFaults& network, StateService& state_service,
--- a/tests/simulation/fault_injector.hpp
+++ b/tests/simulation/fault_injector.hpp
@@ -64,12 +64,13 @@
   // State service and cloud.
 
   void state_outage(Seconds duration);
-  /// Makes the state service enforce these limits, for the rest of the simulation.
+  /// Makes the state service enforce these limits (`state.next` in the settings) for the rest of
+  /// the simulation.
   void lower_state_limits(const protocol::StateLimits& limits);
   void delay_writes(double share, Seconds duration);
   void delay_state_responses(const AddedLatency& latency, Seconds duration);
   void lose_state_responses(double share, Seconds duration);
-  /// Calls of controllers, and of users, are executed a second time after their execution.
+  /// Calls of controllers, and users' submissions and cancellations, are executed a second time.
   void duplicate_calls(const Duplication& duplication, Seconds duration);
   void cloud_outage(Seconds duration);
   /// Each machine rented during this time fails to boot with the probability `share`.
--- a/tests/simulation/gangs.cpp
+++ b/tests/simulation/gangs.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 constexpr Seconds host_check_interval{0.5};
-constexpr double min_work_s =
-    0.1;  // minimum run time of an attempt, even if all work is already saved
+// Minimum run time of an attempt, even if all of its work is already saved.
+constexpr double min_work_s = 0.1;
 constexpr double min_run_factor = 0.6, max_run_factor = 1.4;  // multiples of the estimated run time
 constexpr double min_notice_factor = 0.2;  // multiple of GangTiming::peer_timeout
 }  // namespace
--- a/tests/simulation/invariant_checker.hpp
+++ b/tests/simulation/invariant_checker.hpp
@@ -44,7 +44,7 @@
   terminal_state_final,
   /// No job waits for long while a machine has room for it.
   work_conserving,
-  /// No class, no team and not the largest jobs of a class are starved.
+  /// No class and no team is starved, and neither are the largest jobs of a class.
   fair_service,
   /// An invalid submission is never accepted.
   invalid_request_refused
--- a/tests/simulation/run_scenario.cpp
+++ b/tests/simulation/run_scenario.cpp
@@ -1,7 +1,7 @@
 /// \file
 /// Runs one scenario file (see simulation/scenario.hpp), once for each of its seeds. Exit codes: 0
-/// if every invariant held and every expectation was met, 1 if not, and 2 if the file cannot be
-/// read or is invalid.
+/// if every invariant held and every expectation was met, 1 if not, and 2 for wrong usage or a file
+/// that cannot be read or is invalid.
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
 
--- a/tests/simulation/scenario.hpp
+++ b/tests/simulation/scenario.hpp
@@ -20,7 +20,8 @@
 /// All times are in seconds. A controller is any, leader, follower, others (all but the leader,
 /// only for partitions), all (only for crashes) or a number. After the last fault has ended,
 /// queries for every accepted job must get responses again, and no job may wait while a machine has
-/// room for it. No class, no team and not the largest jobs of a class may be starved.
+/// room for it. No class and no team may be starved, and neither may the largest jobs of a
+/// class.
 #pragma once
 
 #include <memory>
--- a/tests/simulation/simulation_settings.hpp
+++ b/tests/simulation/simulation_settings.hpp
@@ -25,7 +25,7 @@
   int txn_ops = 32;
   /// The limits under `state.next` in the controllers' settings, from the start of the simulation.
   std::optional<protocol::StateLimits> next_limits;
-  /// Lag of the cloud's machine lists; each list is between half and twice as old.
+  /// Lag of the cloud's machine lists. A list is between half and twice this old.
   Seconds list_lag{3};
   /// Fraction of the state service's responses that are lost.
   double lost_state_responses = 0;
--- a/tests/simulation/state_service.hpp
+++ b/tests/simulation/state_service.hpp
@@ -30,7 +30,7 @@
   StateService(EventQueue& queue, double rps, double write_rps, int txn_ops);
 
   /// Handles one request. Calls `respond` before it returns; for a watch, when a key has changed or
-  /// the watch's timeout has passed.
+  /// the watch's timeout has passed, which may be later.
   void handle(const transport::HttpRequest& request, const OnResponse& respond);
   /// While the service is down, it responds to every request with 503. When it is up again, every
   /// lease gets its full time to live.
--- a/tests/simulation/worker_fleet.cpp
+++ b/tests/simulation/worker_fleet.cpp
@@ -51,8 +51,8 @@
 
 std::string WorkerFleet::machine_with_room_for(const protocol::JobSpec& spec) const {
   const std::int64_t needed = spec.kind == protocol::JobKind::gang ? spec.tasks : 1;
-  std::map<std::string, std::int64_t>
-      room;  // by zone if all tasks must be in one zone, otherwise under ""
+  // By zone if all tasks must be in one zone, otherwise under "".
+  std::map<std::string, std::int64_t> room;
   for (const auto& [machine, worker] : workers_) {
     auto& tasks = room[spec.one_zone ? worker->host().zone : ""];
     tasks += worker->room_for(spec);
