--- a/tests/simulation/invariant_checker.hpp
+++ b/tests/simulation/invariant_checker.hpp
@@ -112,8 +112,8 @@
   /// Must be called about once a second for every accepted job. `machine` is a machine with room
   /// for the job if the job waits, and empty if it does not wait or no machine has room.
   void check_waiting_job(const std::string& job, const std::string& machine);
-  /// Must be called once, at the end. Checks that all queries got responses and that no class and
-  /// no team was starved.
+  /// Must be called once, at the end. Checks that all queries got responses and that no class, no
+  /// team and no class's largest jobs were starved.
   void check_final_service();
 
   // Results.
