--- a/tests/simulation/gangs.cpp
+++ b/tests/simulation/gangs.cpp
@@ -7,9 +7,10 @@
 
 namespace {
 constexpr Seconds host_check_interval{0.5};
-constexpr double min_work_s = 0.1;  // of an attempt that has everything done
-constexpr double min_run_factor = 0.6, max_run_factor = 1.4;  // of the estimated run time
-constexpr double min_notice_factor = 0.2;  // of the time within which peers notice a lost task
+// Minimum run time of an attempt, even if all of its work is already saved.
+constexpr double min_work_s = 0.1;
+constexpr double min_run_factor = 0.6, max_run_factor = 1.4;  // multiples of the estimated run time
+constexpr double min_notice_factor = 0.2;  // multiple of GangTiming::peer_timeout
 }  // namespace
 
 void Gangs::join(const std::string& job, std::uint64_t attempt, std::uint32_t index, GangHost& host,
@@ -33,8 +34,8 @@
   attempt.started_at = queue_.now();
   ++started_;
   for (auto& [index, member] : attempt.members) member.host->start_gang_task(member.run);
-  const double left_s = total_work_s(key.first) - saved_progress_s_[key.first];
-  queue_.after(Seconds{std::max(min_work_s, left_s)}, [this, key] { complete(key); });
+  const double remaining_work_s = total_work_s(key.first) - saved_progress_s_[key.first];
+  queue_.after(Seconds{std::max(min_work_s, remaining_work_s)}, [this, key] { complete(key); });
   check_hosts(key);
 }
 
@@ -43,7 +44,7 @@
                      [](const auto& each) { return each.second.host->is_hanging(); });
 }
 
-// The tasks notice a machine that hangs as if its task were gone.
+// The other tasks treat the task on a hanging machine as lost.
 void Gangs::check_hosts(const Key& key) {
   const Attempt& attempt = attempts_[key];
   if (attempt.is_ended) return;
@@ -63,8 +64,9 @@
 
 void Gangs::leave(const std::string& job, std::uint64_t attempt, std::uint32_t index) {
   const Key key{job, attempt};
-  Attempt& known = attempts_[key];
-  if (known.members.erase(index) > 0 && known.is_started && !known.is_ended) fail(key);
+  Attempt& attempt_state = attempts_[key];
+  if (attempt_state.members.erase(index) > 0 && attempt_state.is_started && !attempt_state.is_ended)
+    fail(key);
 }
 
 void Gangs::fail(const Key& key) {
@@ -79,33 +81,33 @@
                  [this, key, index = index] {
                    const auto found = attempts_[key].members.find(index);
                    if (found == attempts_[key].members.end()) return;
-                   const Member left = found->second;
-                   left.host->end_gang_task(left.run, "peers", false);
+                   const Member remaining_member = found->second;
+                   remaining_member.host->end_gang_task(remaining_member.run, "peers", false);
                  });
 }
 
 void Gangs::stop(const std::string& job, std::uint64_t attempt, std::uint32_t index,
                  Seconds grace) {
   const Key key{job, attempt};
-  Attempt& known = attempts_[key];
-  const auto found = known.members.find(index);
-  if (found == known.members.end()) return;
+  Attempt& attempt_state = attempts_[key];
+  const auto found = attempt_state.members.find(index);
+  if (found == attempt_state.members.end()) return;
   const protocol::JobSpec& spec = *invariants_.find_job(job);
   const Seconds save_time = spec.checkpoint_save_time;
-  if (!known.is_started || known.is_ended || spec.checkpoint_interval <= Seconds{0} ||
-      grace < save_time) {
+  if (!attempt_state.is_started || attempt_state.is_ended ||
+      spec.checkpoint_interval <= Seconds{0} || grace < save_time) {
     const Member member = found->second;
     return member.host->end_gang_task(member.run, "halted", false);
   }
   found->second.is_stopping = true;
-  if (known.stopped_at < 0) {
-    known.stopped_at = queue_.now();
+  if (attempt_state.stopped_at < 0) {
+    attempt_state.stopped_at = queue_.now();
     queue_.after(timing_.peer_timeout, [this, key] {
       const Attempt& now = attempts_[key];
       if (!now.is_ended && !all_stopping(now)) fail(key);
     });
   }
-  if (all_stopping(known)) queue_.after(save_time, [this, key] { save(key); });
+  if (all_stopping(attempt_state)) queue_.after(save_time, [this, key] { save(key); });
 }
 
 bool Gangs::all_stopping(const Attempt& attempt) {
@@ -124,7 +126,7 @@
 }
 
 void Gangs::end_all_tasks(const Key& key, const std::string& cause, bool saved) {
-  const auto members = attempts_[key].members;  // a copy: each end removes one
+  const auto members = attempts_[key].members;  // a copy, since end_gang_task removes the member
   for (const auto& [index, member] : members) member.host->end_gang_task(member.run, cause, saved);
 }
 
--- a/tests/simulation/simulation.cpp
+++ b/tests/simulation/simulation.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 constexpr Seconds cancellation_check_interval{0.5};
-// Finds a new leader before it has read the journal.
+// Short enough to find a new leader before it has replayed the journal.
 constexpr Seconds leader_check_interval{0.001};
-// Shorter than a slot stays empty between two tasks.
+// Shorter than the time for which a slot stays empty between two tasks.
 constexpr Seconds waiting_check_interval{1};
 constexpr double millicores_per_cpu = 1000;
 
@@ -40,7 +40,9 @@
              }),
       faults_(queue_, network_faults_, state_service_, cloud_, controllers_, fleet_),
       users_(queue_, network_faults_, invariants_, controllers_,
-             [this](ControllerProcess& by) { faults_.cancellation_confirmed(by); }) {
+             [this](ControllerProcess& confirming_controller) {
+               faults_.cancellation_confirmed(confirming_controller);
+             }) {
   network_faults_.lost_state_responses = settings.lost_state_responses;
   for (const auto& team : settings.teams)
     invariants_.set_team_quota(team.name,
