--- a/src/coordination/leader/scheduling_loop.cpp
+++ b/src/coordination/leader/scheduling_loop.cpp
@@ -94,9 +94,9 @@
                                       std::uint64_t plan_attempt, SteadyTime now) {
   // Log position of each gang's last entry, by job id.
   std::map<std::string, std::uint64_t> gang_positions;
-  for (const auto& each : placements) {
-    Machine& machine = cluster_state_.machines.at(each.machine);
-    Job& job = cluster_state_.jobs.at(each.job);
+  for (const auto& planned : placements) {
+    Machine& machine = cluster_state_.machines.at(planned.machine);
+    Job& job = cluster_state_.jobs.at(planned.job);
     if (job.is_gang()) GangTracker::on_placed(job, plan_attempt, now);
     const std::uint64_t attempt = job.is_gang() ? job.gang.number : plan_attempt;
     Placement& placed = cluster_state_.place(machine, job, attempt, now);
@@ -108,17 +108,19 @@
   // No task of a gang is started before the journal records the placements of all its tasks, so
   // that a successor restores the complete gang.
   for (const auto& [id, position] : gang_positions)
-    cluster_state_.jobs.at(id).for_each_placement(
-        [position = position](Placement& each) { each.log_position = position; });
+    cluster_state_.jobs.at(id).for_each_placement([position = position](Placement& gang_placement) {
+      gang_placement.log_position = position;
+    });
 }
 
 void SchedulingLoop::apply_preemptions(
     const std::vector<planning::PlannedPreemption>& preemptions) {
-  for (const auto& each : preemptions) {
-    Placement* placement =
-        cluster_state_.machines.at(each.machine).find(each.job, each.index, each.attempt);
+  for (const auto& planned : preemptions) {
+    Placement* placement = cluster_state_.machines.at(planned.machine)
+                               .find(planned.job, planned.index, planned.attempt);
     stopper_.stop_task(*placement);
-    spdlog::info("task preempted job={} index={} machine={}", each.job, each.index, each.machine);
+    spdlog::info("task preempted job={} index={} machine={}", planned.job, planned.index,
+                 planned.machine);
   }
 }
 
@@ -126,7 +128,7 @@
   least_waiting_cpus_ = std::numeric_limits<std::int64_t>::max();
   for (const auto& [id, job] : cluster_state_.jobs)
     if (job.waiting() > 0 && !job.record.cancelled)
-      least_waiting_cpus_ = std::min(least_waiting_cpus_, job.spec().each.cpus);
+      least_waiting_cpus_ = std::min(least_waiting_cpus_, job.spec().task_resources.cpus);
 }
 
 }  // namespace poppystile::coordination
--- a/src/planning/job_order.cpp
+++ b/src/planning/job_order.cpp
@@ -70,8 +70,8 @@
     std::int64_t cpus = 0;
     std::int64_t gpus = 0;
     for (const Job* job : jobs) {
-      cpus += job->spec().each.cpus * job->spec().tasks;
-      gpus += job->spec().each.gpus * job->spec().tasks;
+      cpus += job->spec().task_resources.cpus * job->spec().tasks;
+      gpus += job->spec().task_resources.gpus * job->spec().tasks;
       if (cpus <= std::llround(team.cpus * 1000) && gpus <= std::llround(team.gpus * 1000))
         guaranteed_.insert(job);
     }
--- a/src/planning/preemption.cpp
+++ b/src/planning/preemption.cpp
@@ -17,8 +17,8 @@
   if (!count_search()) return false;
   const auto best = find_best_victims(waiting_job);
   if (!best) return false;
-  for (const Placement* each : best->placements) preempt(*best->slot, *each);
-  best->slot->being_freed -= job.each;
+  for (const Placement* victim : best->placements) preempt(*best->slot, *victim);
+  best->slot->being_freed -= job.task_resources;
   return true;
 }
 
@@ -35,8 +35,9 @@
 bool Preemption::reserve_being_freed(const JobSpec& job) {
   for (auto& slot : draft_.slots()) {
     if (slot.being_freed.cpus <= 0) continue;
-    if (!draft_.is_allowed(slot, job) || !job.each.fits(slot.free_after_stops())) continue;
-    slot.being_freed -= job.each;
+    if (!draft_.is_allowed(slot, job) || !job.task_resources.fits(slot.free_after_stops()))
+      continue;
+    slot.being_freed -= job.task_resources;
     return true;
   }
   return false;
@@ -48,7 +49,7 @@
     if (!draft_.is_allowed(slot, waiting_job.spec())) continue;
     auto placements = victim_selector_.victims_for_task(slot, waiting_job);
     std::size_t cost = 0;
-    for (const Placement* each : placements) cost += victim_selector_.cost(*each);
+    for (const Placement* victim : placements) cost += victim_selector_.cost(*victim);
     if (placements.empty() || (best && cost >= best->cost)) continue;
     best = BestVictims{&slot, std::move(placements), cost};
     if (cost == 1) break;
@@ -77,24 +78,24 @@
   const JobSpec& job = waiting_job.spec();
   GangShare share{&slot, 0, {}};
   Resources available_resources = slot.free_after_stops();
-  for (const Placement* each : victim_selector_.candidates(slot, waiting_job)) {
-    if (job.each.times_in(available_resources) >= unassigned_tasks) break;
-    available_resources += each->each;
-    share.victims.push_back(each);
+  for (const Placement* victim : victim_selector_.candidates(slot, waiting_job)) {
+    if (job.task_resources.times_in(available_resources) >= unassigned_tasks) break;
+    available_resources += victim->task_resources;
+    share.victims.push_back(victim);
   }
-  share.task_count = std::min(unassigned_tasks, job.each.times_in(available_resources));
+  share.task_count = std::min(unassigned_tasks, job.task_resources.times_in(available_resources));
   return share;
 }
 
 void Preemption::apply(const GangShare& share, const JobSpec& gang) {
   // A victim that belongs to a gang may have been preempted already, with another task of its gang.
-  for (const Placement* each : share.victims)
-    if (!draft_.is_preempted(*each)) preempt(*share.slot, *each);
+  for (const Placement* victim : share.victims)
+    if (!draft_.is_preempted(*victim)) preempt(*share.slot, *victim);
   for (std::int64_t i = 0; i < share.task_count; ++i) {
-    if (gang.each.fits(share.slot->free)) {
+    if (gang.task_resources.fits(share.slot->free)) {
       draft_.reserve(*share.slot, gang);
     } else {
-      share.slot->being_freed -= gang.each;
+      share.slot->being_freed -= gang.task_resources;
     }
   }
 }
--- a/src/planning/victim_selector.cpp
+++ b/src/planning/victim_selector.cpp
@@ -57,12 +57,12 @@
   const JobSpec& job = waiting_job.spec();
   std::vector<const Placement*> victims;
   Resources available_resources = slot.free_after_stops();
-  for (const Placement* each : candidates(slot, waiting_job)) {
-    if (job.each.fits(available_resources)) break;
-    available_resources += each->each;
-    victims.push_back(each);
+  for (const Placement* candidate : candidates(slot, waiting_job)) {
+    if (job.task_resources.fits(available_resources)) break;
+    available_resources += candidate->task_resources;
+    victims.push_back(candidate);
   }
-  if (!job.each.fits(available_resources)) victims.clear();
+  if (!job.task_resources.fits(available_resources)) victims.clear();
   return victims;
 }
 
--- a/tests/unit/cluster_state_test.cpp
+++ b/tests/unit/cluster_state_test.cpp
@@ -18,7 +18,7 @@
     spec.id = "req-1";
     spec.team = "vision";
     spec.tasks = 3;
-    spec.each.cpus = 2;
+    spec.task_resources.cpus = 2;
     job.record.spec = spec;
     job.phases.resize(spec.tasks);
   }
@@ -80,7 +80,8 @@
   cluster_state.place(machine, job, 7, SteadyTime{});
   cluster_state.release_resources(machine, machine.placements.front());
   std::vector<std::uint32_t> visited;
-  job.for_each_placement([&](Placement& each) { visited.push_back(each.index); });
+  job.for_each_placement(
+      [&](Placement& visited_placement) { visited.push_back(visited_placement.index); });
   EXPECT_EQ(visited, std::vector<std::uint32_t>{1});
 }
 
--- a/tests/unit/victim_selector_test.cpp
+++ b/tests/unit/victim_selector_test.cpp
@@ -26,9 +26,9 @@
     const JobOrder order(cluster_state, context);
     const VictimSelector selector(draft, order);
     std::vector<std::string> jobs;
-    for (const auto* each :
+    for (const auto* victim :
          selector.victims_for_task(draft.slots()[0], cluster_state.jobs.at("waiting")))
-      jobs.push_back(each->job);
+      jobs.push_back(victim->job);
     return jobs;
   }
 
@@ -49,7 +49,7 @@
 
 TEST_F(VictimSelectorTest, NothingIsPreemptedIfAllCandidatesFreeTooLittle) {
   machine.size.cpus = 2000;
-  cluster_state.jobs.at("waiting").record.spec.each.cpus = 4000;
+  cluster_state.jobs.at("waiting").record.spec.task_resources.cpus = 4000;
   place("low", JobKind::array, Priority::low, steady_at(1));
   EXPECT_TRUE(victims().empty());
 }
