--- a/src/planning/gang_placement.cpp
+++ b/src/planning/gang_placement.cpp
@@ -72,7 +72,7 @@
     if (!is_in_zone(slot, zone)) continue;
     // The start command of a lost task may reach its former machine again, which would then run
     // the task beside its replacement.
-    if (job.gang.left.contains(slot.machine->id)) continue;
+    if (job.gang.machines_with_lost_tasks.contains(slot.machine->id)) continue;
     if (draft_.fits(slot, spec)) candidates.push_back(&slot);
   }
   std::sort(candidates.begin(), candidates.end(), [&](const MachineSlot* a, const MachineSlot* b) {
