--- a/src/cluster/machine.cpp
+++ b/src/cluster/machine.cpp
@@ -4,7 +4,7 @@
 
 namespace poppystile::cluster {
 
-bool Machine::holds(const std::string& image) const {
+bool Machine::has_cached(const std::string& image) const {
   return std::any_of(images.begin(), images.end(),
                      [&](const CachedImage& each) { return each.name == image; });
 }
--- a/src/planning/autoscaler/scale_in_policy.cpp
+++ b/src/planning/autoscaler/scale_in_policy.cpp
@@ -121,7 +121,7 @@
 Bin* ScaleInPolicy::find_target(const JobSpec& service, const Bin& source) {
   const auto found = std::find_if(bins_.begin(), bins_.end(), [&](const Bin& bin) {
     return &bin != &source && bin.machine != nullptr && bin.machine->has_reported &&
-           bin.machine->holds(service.image) && bin.service_cpus > 0 &&
+           bin.machine->has_cached(service.image) && bin.service_cpus > 0 &&
            may_run_on(service, bin.offer) && service.task_resources.fits(bin.room);
   });
   return found == bins_.end() ? nullptr : &*found;
--- a/src/planning/machine_slot.cpp
+++ b/src/planning/machine_slot.cpp
@@ -27,7 +27,7 @@
 bool awaits_image(const Placement& placement, const Machine& machine, const JobSpec& job) {
   const bool before_run =
       placement.phase == PlacementPhase::assigned || placement.phase == PlacementPhase::fetching;
-  return before_run && !machine.holds(job.image);
+  return before_run && !machine.has_cached(job.image);
 }
 
 /// Adds a placement that the machine has already to the slot's counts. `job` is null if the cluster
@@ -82,7 +82,7 @@
   ++task_count;
   if (job.kind == JobKind::service) {
     array_capacity -= job.task_resources;
-    if (!machine->holds(job.image)) ++replicas_awaiting_image;
+    if (!machine->has_cached(job.image)) ++replicas_awaiting_image;
   }
   if (!has_or_fetches(job.image)) pending_images.push_back(job.image);
 }
@@ -118,7 +118,7 @@
 
 Seconds image_fetch_time(const MachineSlot& slot, const JobSpec& job,
                          std::size_t competing_fetches) {
-  if (slot.machine->holds(job.image)) return Seconds{0};
+  if (slot.machine->has_cached(job.image)) return Seconds{0};
   const Seconds single_fetch{job.image_gb / slot.machine->fetch_gb_per_s};
   const std::size_t fetches = slot.is_fetching(job.image)
                                   ? slot.pending_images.size()
