--- a/src/storage/records.hpp
+++ b/src/storage/records.hpp
@@ -24,7 +24,7 @@
 inline const std::string token = "shared/ctl/token";
 inline const std::string catalog = "shared/catalog";
 inline const std::string jobs = "shared/job/";
-inline const std::string over = "shared/over/";
+inline const std::string final_records = "shared/over/";
 inline const std::string journal = "journal/";
 inline const std::string journal_head = "journal/head";
 inline const std::string journal_segments = "journal/log/";
@@ -34,7 +34,7 @@
 }  // namespace keys
 
 inline std::string job_key(const std::string& id) { return keys::jobs + id; }
-inline std::string final_record_key(const std::string& id) { return keys::over + id; }
+inline std::string final_record_key(const std::string& id) { return keys::final_records + id; }
 /// The elected leader and its fencing token.
 struct LeaderRecord {
   std::string name;
