--- a/src/coordination/fleet/fleet_manager.hpp
+++ b/src/coordination/fleet/fleet_manager.hpp
@@ -52,7 +52,7 @@
     return rental_log_.records();
   }
   /// Whether the cloud has confirmed the machine's release in the current term.
-  bool released(const std::string& machine) const { return registry_.is_released(machine); }
+  bool has_released(const std::string& machine) const { return registry_.is_released(machine); }
   /// Sets the fields of a machine that its type determines. Returns false, and changes nothing, if
   /// the type is not in the catalog.
   bool apply_machine_type(cluster::Machine& machine) const {
--- a/src/coordination/leader/heartbeat_handler.cpp
+++ b/src/coordination/leader/heartbeat_handler.cpp
@@ -39,7 +39,8 @@
   // A delayed copy of a heartbeat must not register a removed machine again. So a machine is
   // registered only if its worker has seen this leader's token and this leader has not released it.
   // Any other worker first receives the token in the response.
-  if (fleet_.released(heartbeat.machine) || heartbeat.token != election_.token()) return nullptr;
+  if (fleet_.has_released(heartbeat.machine) || heartbeat.token != election_.token())
+    return nullptr;
   Machine machine;
   machine.id = heartbeat.machine;
   machine.type = heartbeat.type;
