--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -188,7 +188,7 @@
   respond({421, protocol::encode_redirect(is_other_controller ? leader->record.name : "")});
 }
 
-bool Controller::is_vital(const HttpRequest& request) {
+bool Controller::is_heartbeat(const HttpRequest& request) {
   return protocol::parse_route(request.target).kind == Route::Kind::heartbeat;
 }
 
--- a/src/coordination/controller.hpp
+++ b/src/coordination/controller.hpp
@@ -41,7 +41,7 @@
   void handle(const transport::HttpRequest& request, transport::Respond respond);
   /// Whether the request is a worker's heartbeat. Worker leases expire without heartbeats, so they
   /// take precedence over users' requests.
-  static bool is_vital(const transport::HttpRequest& request);
+  static bool is_heartbeat(const transport::HttpRequest& request);
   /// Whether this controller is the leader. May still be true shortly after it was deposed.
   bool is_leader() const { return election_.is_leader(); }
   /// The fencing token of the last election that this controller won; 0 if it has won none.
