--- a/tests/unit/consistent_reader_test.cpp
+++ b/tests/unit/consistent_reader_test.cpp
@@ -49,7 +49,7 @@
     return received;
   }
 
-  ConsistentReader reader{caller, store, shared_state, settings.state_limits};
+  ConsistentReader reader{caller, key_value_client, shared_state, settings.state_limits};
 };
 
 TEST_F(ConsistentReaderTest, ConfirmsACachedJobAsActive) {
--- a/tests/unit/failover_recovery_test.cpp
+++ b/tests/unit/failover_recovery_test.cpp
@@ -21,7 +21,8 @@
   }
 
   protocol::Properties properties;
-  FleetManager fleet{caller, caller, store, shared_state, election, journal, settings, properties};
+  FleetManager fleet{caller,   caller,  key_value_client, shared_state,
+                     election, journal, settings,         properties};
   JobRegistry jobs{cluster_state, shared_state, stopper, finalizer, [this] { ++plan_requests; }};
   int recovery_count = 0;
   FailoverRecovery recovery{caller,  shared_state, election,
--- a/tests/unit/heartbeat_handler_test.cpp
+++ b/tests/unit/heartbeat_handler_test.cpp
@@ -12,7 +12,8 @@
 class HeartbeatHandlerTest : public LeaderPartsFixture {
  protected:
   protocol::Properties properties;
-  FleetManager fleet{caller, caller, store, shared_state, election, journal, settings, properties};
+  FleetManager fleet{caller,   caller,  key_value_client, shared_state,
+                     election, journal, settings,         properties};
   HeartbeatHandler handler{
       caller,     cluster_state, election, journal,  fleet,
       reconciler, health,        stopper,  settings, [this] { ++plan_requests; }};
--- a/tests/unit/job_api_test.cpp
+++ b/tests/unit/job_api_test.cpp
@@ -49,7 +49,8 @@
     return received;
   }
 
-  JobApi job_api{caller, store, shared_state, settings, [](const auto&) { return TaskCounts{}; }};
+  JobApi job_api{caller, key_value_client, shared_state, settings,
+                 [](const auto&) { return TaskCounts{}; }};
   double response_time = -1;
 };
 
--- a/tests/unit/leader_parts_fixture.hpp
+++ b/tests/unit/leader_parts_fixture.hpp
@@ -65,13 +65,13 @@
     return {placement.job, placement.index, placement.attempt, state, cause, false};
   }
 
-  LeaderElection election{caller, store, shared_state, "stile-0", 7};
-  JournalWriter journal{caller, store, election, settings};
+  LeaderElection election{caller, key_value_client, shared_state, "stile-0", 7};
+  JournalWriter journal{caller, key_value_client, election, settings};
   ClusterState cluster_state;
   GangTracker gangs{settings};
   TaskStopper stopper{cluster_state, gangs};
   MachineHealth health{caller, cluster_state, stopper, settings};
-  JobFinalizer finalizer{caller, cluster_state, shared_state, store, election, settings};
+  JobFinalizer finalizer{caller, cluster_state, shared_state, key_value_client, election, settings};
   int plan_requests = 0;
   TaskReconciler reconciler{
       caller, cluster_state, journal, finalizer, health, settings, [this] { ++plan_requests; }};
--- a/tests/unit/shared_state_fixture.hpp
+++ b/tests/unit/shared_state_fixture.hpp
@@ -25,8 +25,8 @@
   simulation::StateService service{queue, 250, 40, 32};
   simulation::FakeHttpCaller caller{queue, service, 0};
   protocol::Settings settings;
-  KeyValueClient store{caller, caller, settings};
-  SharedStateCache shared_state{caller, store};
+  KeyValueClient key_value_client{caller, caller, settings};
+  SharedStateCache shared_state{caller, key_value_client};
 };
 
 }  // namespace poppystile::coordination
