--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -143,10 +143,10 @@
 // --- requests ---
 
 // Returns the steady time until which this leader may respond to workers; see CancellationTracker.
-SteadyTime Controller::may_respond_until() const {
+SteadyTime Controller::response_deadline() const {
   if (!leader_.ready())
-    return cancellations_.may_respond_until_before_replay(election_.elected_at());
-  return cancellations_.may_respond_until();
+    return cancellations_.response_deadline_before_replay(election_.elected_at());
+  return cancellations_.response_deadline();
 }
 
 // Whether the health check reports that users can send requests to this controller. It fails only
@@ -169,11 +169,11 @@
   }
   if (!election_.is_leader()) return redirect_heartbeat(respond);
   worker_reachability_.count_direct();
-  if (runtime_.now() > may_respond_until()) return respond(cut_off_response());
+  if (runtime_.now() > response_deadline()) return respond(cut_off_response());
   // The time limit is checked again on sending, since the response may wait for the journal and the
   // process may have been paused: a response past the limit must not extend the worker's lease.
   leader_.handle_heartbeat(heartbeat, [this, respond](const HttpResponse& response) {
-    const bool limit_passed = response.status == 200 && runtime_.now() > may_respond_until();
+    const bool limit_passed = response.status == 200 && runtime_.now() > response_deadline();
     respond(limit_passed ? cut_off_response() : response);
   });
 }
--- a/src/coordination/peers/cancellation_tracker.cpp
+++ b/src/coordination/peers/cancellation_tracker.cpp
@@ -63,11 +63,11 @@
   return confirmed_by_all;
 }
 
-SteadyTime CancellationTracker::may_respond_until() const {
+SteadyTime CancellationTracker::response_deadline() const {
   return complete_until() + response_budget();
 }
 
-SteadyTime CancellationTracker::may_respond_until_before_replay(SteadyTime elected_at) const {
+SteadyTime CancellationTracker::response_deadline_before_replay(SteadyTime elected_at) const {
   return elected_at + response_budget() * constants::response_share_before_replay;
 }
 
--- a/tests/unit/cancellation_tracker_test.cpp
+++ b/tests/unit/cancellation_tracker_test.cpp
@@ -112,14 +112,14 @@
 
 TEST_F(CancellationTrackerTest, ResponsesEndEarlyEnoughForLeasesToExpireWithinTheCancelTimeout) {
   const SteadyTime lease_expires =
-      tracker.may_respond_until() + settings.worker_lease * (1 + constants::clock_drift);
+      tracker.response_deadline() + settings.worker_lease * (1 + constants::clock_drift);
   EXPECT_LT(lease_expires, tracker.complete_until() + settings.cancel_timeout);
 }
 
 TEST_F(CancellationTrackerTest, LeaderThatHasNotReplayedTheJournalMayRespondForAShareOfTheBudget) {
-  const Seconds response_budget = tracker.may_respond_until() - tracker.complete_until();
+  const Seconds response_budget = tracker.response_deadline() - tracker.complete_until();
   const SteadyTime elected_at = caller.now();
-  const Seconds unready_budget = tracker.may_respond_until_before_replay(elected_at) - elected_at;
+  const Seconds unready_budget = tracker.response_deadline_before_replay(elected_at) - elected_at;
   EXPECT_NEAR(unready_budget.count(),
               (response_budget * constants::response_share_before_replay).count(), 1e-9);
 }
