--- a/src/planning/array_batch.cpp
+++ b/src/planning/array_batch.cpp
@@ -57,7 +57,7 @@
                             (required_zone.empty() || required_zone == slot.machine->zone);
     labl_job.local_cost.push_back(
         is_allowed ? expected_run_time(job).count() / static_cast<double>(concurrent_tasks) : 0);
-    labl_job.has_image.push_back(is_allowed && slot.has_or_fetches(job.image) ? 1 : 0);
+    labl_job.has_image.push_back(is_allowed && slot.has_cached_or_is_fetching(job.image) ? 1 : 0);
     if (is_allowed) free_tasks += job.task_resources.times_in(slot.free);
   }
   labl_job.task_count =
--- a/src/planning/array_placement.cpp
+++ b/src/planning/array_placement.cpp
@@ -51,8 +51,8 @@
     const JobSpec& spec = job->spec();
     std::uint32_t remaining = count_unplaced(*job, placed_by_job);
     for (MachineSlot* slot : slots_with_free_cpus)
-      for (; remaining > 0 && slot->has_or_fetches(spec.image) && draft_.fits(*slot, spec) &&
-             draft_.quotas().remaining_tasks(spec) > 0;
+      for (; remaining > 0 && slot->has_cached_or_is_fetching(spec.image) &&
+             draft_.fits(*slot, spec) && draft_.quotas().remaining_tasks(spec) > 0;
            --remaining)
         draft_.place(*slot, spec);
   }
@@ -72,7 +72,7 @@
   for (auto& slot : draft_.slots()) {
     if (!draft_.fits(slot, job)) continue;
     const double fetch =
-        slot.has_or_fetches(job.image) ? 0 : job.image_gb / slot.machine->fetch_gb_per_s;
+        slot.has_cached_or_is_fetching(job.image) ? 0 : job.image_gb / slot.machine->fetch_gb_per_s;
     if (best != nullptr && fetch >= least_fetch) continue;
     best = &slot;
     least_fetch = fetch;
--- a/src/planning/machine_slot.cpp
+++ b/src/planning/machine_slot.cpp
@@ -84,7 +84,7 @@
     array_capacity -= job.task_resources;
     if (!machine->has_cached(job.image)) ++replicas_awaiting_image;
   }
-  if (!has_or_fetches(job.image)) pending_images.push_back(job.image);
+  if (!has_cached_or_is_fetching(job.image)) pending_images.push_back(job.image);
 }
 
 MachineSlot make_slot(const Machine& machine, const ClusterState& cluster_state, SteadyTime now,
