--- a/src/planning/array_placement.cpp
+++ b/src/planning/array_placement.cpp
@@ -37,7 +37,7 @@
     const JobSpec& spec = job->spec();
     std::uint32_t remaining =
         std::min(count_unplaced(*job, placed_by_job), draft_.quotas().remaining_tasks(spec));
-    while (remaining > 0 && place_anywhere(spec)) --remaining;
+    while (remaining > 0 && place_with_least_fetch_time(spec)) --remaining;
     while (remaining > 0 && preemption_.make_room(*job)) --remaining;
   }
 }
@@ -63,10 +63,10 @@
   for (const Job* job : jobs)
     if (order_.is_first_task_overdue(*job) && !placed_by_job.contains(job->spec().id) &&
         draft_.quotas().remaining_tasks(job->spec()) > 0)
-      place_anywhere(job->spec());
+      place_with_least_fetch_time(job->spec());
 }
 
-bool ArrayPlacement::place_anywhere(const JobSpec& job) {
+bool ArrayPlacement::place_with_least_fetch_time(const JobSpec& job) {
   MachineSlot* best = nullptr;
   double least_fetch = 0;
   for (auto& slot : draft_.slots()) {
