--- a/src/cluster/snapshot.cpp
+++ b/src/cluster/snapshot.cpp
@@ -33,23 +33,23 @@
   std::vector<JournalEntry> entries_;
 };
 
-void add_machine(EntryList& out, const Machine& machine) {
-  out.add(MachineRegistered{machine.id, machine.type, machine.zone, machine.spot,
-                            machine.incarnation, machine.rented_at});
-  for (const auto& image : machine.images) out.add(ImageCached{machine.id, image});
+void add_machine(EntryList& entries, const Machine& machine) {
+  entries.add(MachineRegistered{machine.id, machine.type, machine.zone, machine.spot,
+                                machine.incarnation, machine.rented_at});
+  for (const auto& image : machine.images) entries.add(ImageCached{machine.id, image});
   for (const auto& placement : machine.placements)
     if (placement.phase != PlacementPhase::exited)
-      out.add(TaskPlaced{
+      entries.add(TaskPlaced{
           placement.job, placement.attempt, {{machine.id, IndexRange::single(placement.index)}}});
 }
 
-void add_finished(EntryList& out, const Job& job, std::size_t max_tasks) {
+void add_finished(EntryList& entries, const Job& job, std::size_t max_tasks) {
   if (job.finished == 0) return;
   for (std::size_t first = 0; first < job.phases.size(); first += max_tasks) {
     std::vector<bool> bits(std::min(job.phases.size() - first, max_tasks));
     for (std::size_t i = 0; i < bits.size(); ++i)
       bits[i] = job.phases[first + i] == TaskPhase::finished;
-    out.add(FinishedBitmap{job.spec().id, first, std::move(bits)});
+    entries.add(FinishedBitmap{job.spec().id, first, std::move(bits)});
   }
 }
 
@@ -58,11 +58,12 @@
 std::vector<JournalEntry> snapshot_entries(const ClusterState& cluster_state,
                                            const std::map<std::string, RentalRecord>& rentals,
                                            const storage::EntryLimits& limits) {
-  EntryList out(limits.max_elements);
-  for (const auto& [id, machine] : cluster_state.machines) add_machine(out, machine);
-  for (const auto& [id, job] : cluster_state.jobs) add_finished(out, job, limits.max_bitmap_tasks);
-  for (const auto& [name, record] : rentals) out.add(RentalRequested{name, record});
-  return out.take();
+  EntryList entries(limits.max_elements);
+  for (const auto& [id, machine] : cluster_state.machines) add_machine(entries, machine);
+  for (const auto& [id, job] : cluster_state.jobs)
+    add_finished(entries, job, limits.max_bitmap_tasks);
+  for (const auto& [name, record] : rentals) entries.add(RentalRequested{name, record});
+  return entries.take();
 }
 
 }  // namespace poppystile::cluster
--- a/src/coordination/leader/leader.cpp
+++ b/src/coordination/leader/leader.cpp
@@ -53,7 +53,7 @@
                                      journal_.entry_limits());
   });
   fleet_.on_machine_removed(
-      [this](Machine& machine, const std::string& why) { on_machine_removed(machine, why); });
+      [this](Machine& machine, const std::string& reason) { on_machine_removed(machine, reason); });
 }
 
 void Leader::start() { tick(); }
@@ -112,9 +112,9 @@
       [](const auto& each) { return each.second.has_reported && !each.second.lease_expired; }));
 }
 
-void Leader::on_machine_removed(Machine& machine, const std::string& why) {
+void Leader::on_machine_removed(Machine& machine, const std::string& reason) {
   const std::string id = machine.id;
-  reconciler_.evict_all(machine, why);
+  reconciler_.evict_all(machine, reason);
   responder_.drop(id);
   journal_.append(storage::MachineRemoved{id});
   cluster_state_.machines.erase(id);
--- a/src/coordination/leader/leader.hpp
+++ b/src/coordination/leader/leader.hpp
@@ -64,7 +64,7 @@
   void on_elected();
   void on_recovered();
   void on_deposed();
-  void on_machine_removed(cluster::Machine& machine, const std::string& why);
+  void on_machine_removed(cluster::Machine& machine, const std::string& reason);
   void tick();
   void run_fleet_passes();
   void check_fleet_size();
--- a/src/coordination/leader/machine_health.cpp
+++ b/src/coordination/leader/machine_health.cpp
@@ -26,9 +26,9 @@
 
 }  // namespace
 
-void MachineHealth::mark_unresponsive(Machine& machine, const std::string& why) const {
+void MachineHealth::mark_unresponsive(Machine& machine, const std::string& reason) const {
   if (std::exchange(machine.is_unresponsive, true)) return;
-  spdlog::info("machine unresponsive id={} why=\"{}\"", machine.id, why);
+  spdlog::info("machine unresponsive id={} why=\"{}\"", machine.id, reason);
   machine.unresponsive_since = runtime_.now();
 }
 
--- a/src/coordination/leader/machine_health.hpp
+++ b/src/coordination/leader/machine_health.hpp
@@ -20,9 +20,9 @@
       : runtime_(runtime), cluster_state_(cluster_state), stopper_(stopper), settings_(settings) {}
 
   /// Marks a machine that sends heartbeats but seems not to receive this leader's responses: it
-  /// gets no new tasks until `evaluate_responsiveness` removes the mark. Logs `why`. Does nothing
-  /// if the machine is already marked.
-  void mark_unresponsive(cluster::Machine& machine, const std::string& why) const;
+  /// gets no new tasks until `evaluate_responsiveness` removes the mark. Logs `reason`. Does
+  /// nothing if the machine is already marked.
+  void mark_unresponsive(cluster::Machine& machine, const std::string& reason) const;
 
   /// Removes the mark if the machine's heartbeats prove that responses arrive: an incarnation that
   /// outlasts a lease must have received some. Must be called for each heartbeat, after its token
--- a/src/coordination/leader/task_reconciler.cpp
+++ b/src/coordination/leader/task_reconciler.cpp
@@ -176,10 +176,10 @@
   });
 }
 
-void TaskReconciler::evict_all(Machine& machine, const std::string& why) {
+void TaskReconciler::evict_all(Machine& machine, const std::string& reason) {
   if (!machine.placements.empty())
     spdlog::info("machine evicted id={} tasks={} why=\"{}\"", machine.id, machine.placements.size(),
-                 why);
+                 reason);
   for (auto& placed_task : machine.placements) remove_placement(machine, placed_task);
   machine.placements.clear();
 }
--- a/src/coordination/leader/task_reconciler.hpp
+++ b/src/coordination/leader/task_reconciler.hpp
@@ -31,8 +31,8 @@
   void reconcile(cluster::Machine& machine, const protocol::Heartbeat& heartbeat);
 
   /// Removes all placements of a machine on which no task can run any more, and requeues the tasks.
-  /// Logs `why`.
-  void evict_all(cluster::Machine& machine, const std::string& why);
+  /// Logs `reason`.
+  void evict_all(cluster::Machine& machine, const std::string& reason);
 
  private:
   void reconcile_task(cluster::Machine& machine, cluster::Placement& placement,
--- a/src/planning/autoscaler/capacity_supply.cpp
+++ b/src/planning/autoscaler/capacity_supply.cpp
@@ -36,8 +36,8 @@
   const auto found = overdue.find(offer);
   if (found == overdue.end()) return 0;
   const auto others = available.find(offer);
-  const int all = found->second + (others == available.end() ? 0 : others->second);
-  return static_cast<double>(found->second) / all;
+  const int total = found->second + (others == available.end() ? 0 : others->second);
+  return static_cast<double>(found->second) / total;
 }
 
 void CapacitySupply::add_rented_machine(const Offer& offer, const std::vector<MachineType>& types) {
--- a/src/planning/zone_limits.cpp
+++ b/src/planning/zone_limits.cpp
@@ -9,8 +9,8 @@
 std::uint32_t ZoneLimits::remaining_constrained_tasks(const JobSpec& job, const std::string& zone) {
   const TasksByZone& zones = tasks_by_zone(job);
   if (job.one_zone)
-    for (const auto& [other, count] : zones)
-      if (count > 0 && other != zone) return 0;
+    for (const auto& [other_zone, count] : zones)
+      if (count > 0 && other_zone != zone) return 0;
   if (!job.spread) return job.tasks;
   const auto in_zone = zones.find(zone);
   const std::uint32_t max_in_zone = (job.tasks + 1) / 2;
--- a/src/storage/journal_codec.cpp
+++ b/src/storage/journal_codec.cpp
@@ -59,9 +59,9 @@
 }
 
 std::vector<IndexRange> ranges_from(const Json& entry, std::size_t position) {
-  std::vector<IndexRange> out;
-  for (; position < entry.size(); ++position) out.push_back(range_at(entry[position], 0));
-  return out;
+  std::vector<IndexRange> result;
+  for (; position < entry.size(); ++position) result.push_back(range_at(entry[position], 0));
+  return result;
 }
 
 Json with_ranges(Json entry, const std::vector<IndexRange>& ranges) {
@@ -82,15 +82,15 @@
 }
 
 std::vector<bool> from_hex(const std::string& text) {
-  std::vector<bool> out(text.size() * bits_per_digit);
+  std::vector<bool> result(text.size() * bits_per_digit);
   for (std::size_t i = 0; i < text.size(); ++i) {
     unsigned nibble = 0;
     const auto [stop, error] = std::from_chars(&text[i], &text[i] + 1, nibble, 16);
     if (error != std::errc{}) throw DecodeError("bitmap in the journal is not hexadecimal");
     for (std::size_t b = 0; b < bits_per_digit; ++b)
-      out[i * bits_per_digit + b] = ((nibble >> b) & 1) != 0;
+      result[i * bits_per_digit + b] = ((nibble >> b) & 1) != 0;
   }
-  return out;
+  return result;
 }
 
 // --- encoding ---
@@ -113,10 +113,10 @@
 }
 
 Json encode_entry(const TaskPlaced& entry) {
-  Json out = Json::array({task_placed_letter, entry.job, entry.attempt});
+  Json result = Json::array({task_placed_letter, entry.job, entry.attempt});
   for (const MachineRange& each : entry.placed)
-    out.push_back(Json::array({each.machine, each.indices.first, each.indices.last}));
-  return out;
+    result.push_back(Json::array({each.machine, each.indices.first, each.indices.last}));
+  return result;
 }
 
 Json encode_entry(const PlacementEnded& entry) {
@@ -161,13 +161,13 @@
 }
 
 JournalEntry decode_task_placed(const Json& entry) {
-  TaskPlaced out{text_at(entry, 1), count_at(entry, 2), {}};
+  TaskPlaced result{text_at(entry, 1), count_at(entry, 2), {}};
   element_at(entry, 3);  // Throws when there is no range.
   for (std::size_t i = 3; i < entry.size(); ++i) {
     const IndexRange range = range_at(entry[i], 1);
-    out.placed.push_back({text_at(entry[i], 0), range});
+    result.placed.push_back({text_at(entry[i], 0), range});
   }
-  return out;
+  return result;
 }
 
 JournalEntry decode_placement_ended(const Json& entry) {
@@ -179,11 +179,11 @@
 }
 
 JournalEntry decode_finished_bitmap(const Json& entry) {
-  FinishedBitmap out{text_at(entry, 1), count_at(entry, 2), from_hex(text_at(entry, 3))};
+  FinishedBitmap result{text_at(entry, 1), count_at(entry, 2), from_hex(text_at(entry, 3))};
   // The last digit may contain unused bits.
-  if (out.first + out.bits.size() > constants::max_tasks + bits_per_digit)
+  if (result.first + result.bits.size() > constants::max_tasks + bits_per_digit)
     throw DecodeError("bitmap in the journal exceeds the task limit");
-  return out;
+  return result;
 }
 
 JournalEntry decode_rental_requested(const Json& entry) {
--- a/src/storage/journal_records.cpp
+++ b/src/storage/journal_records.cpp
@@ -35,19 +35,19 @@
                          const std::vector<std::string>& entries) {
   // The entries are JSON text already, so they are inserted as they are.
   const std::string header = Json{{"v", format_version}, {"n", number}, {"t", token}}.dump();
-  std::string out = header.substr(0, header.size() - 1) + ",\"e\":[";
+  std::string result = header.substr(0, header.size() - 1) + ",\"e\":[";
   for (std::size_t i = 0; i < entries.size(); ++i) {
-    if (i > 0) out += ',';
-    out += entries[i];
+    if (i > 0) result += ',';
+    result += entries[i];
   }
-  return out + "]}";
+  return result + "]}";
 }
 
 JournalChunk decode_chunk(const Json& value) {
   check_format_version(value);
-  JournalChunk out{need_count(value, "n"), need_count(value, "t"), {}};
-  for (const Json& each : need_list(value, "e")) out.entries.push_back(each);
-  return out;
+  JournalChunk result{need_count(value, "n"), need_count(value, "t"), {}};
+  for (const Json& each : need_list(value, "e")) result.entries.push_back(each);
+  return result;
 }
 
 Json encode(const JournalHead& head) {
--- a/src/storage/journal_replay.cpp
+++ b/src/storage/journal_replay.cpp
@@ -40,19 +40,19 @@
 }
 
 ReplayedState JournalReplay::replay() const {
-  ReplayedState out;
-  if (empty()) return out;
+  ReplayedState replayed;
+  if (empty()) return replayed;
   for (std::uint64_t chunk = 0; chunk < head_.snapshot_chunks; ++chunk) {
     const auto found = snapshots_.find({head_.generation, chunk});
     if (found == snapshots_.end()) throw DecodeError("chunk of the journal snapshot is missing");
-    apply_all(out, found->second);
+    apply_all(replayed, found->second);
   }
   std::uint64_t expected = head_.first_segment;
   for (auto it = segments_.lower_bound(expected); it != segments_.end(); ++it, ++expected) {
     if (it->first != expected) throw DecodeError("journal segment is missing");
-    apply_all(out, it->second);
+    apply_all(replayed, it->second);
   }
-  return out;
+  return replayed;
 }
 
 }  // namespace poppystile::storage
