--- a/tests/simulation/controller_process.cpp
+++ b/tests/simulation/controller_process.cpp
@@ -185,16 +185,16 @@
 }
 
 void ControllerProcess::broadcast(const std::string& frame) {
-  for (const auto& other : cluster_.processes()) {
-    if (other.get() == this) continue;
-    const auto arrive = [to = other.get(), frame] {
+  for (const auto& receiver : cluster_.processes()) {
+    if (receiver.get() == this) continue;
+    const auto arrive = [to = receiver.get(), frame] {
       to->deliver([to, frame] { to->receive_frame(frame); });
     };
-    if (!partition_.peers && !other->partition_.peers) {
+    if (!partition_.peers && !receiver->partition_.peers) {
       network_.queue.after(peer_latency + network_.faults.peer_message_delay, arrive);
       continue;
     }
-    ControllerProcess& partitioned = partition_.peers ? *this : *other;
+    ControllerProcess& partitioned = partition_.peers ? *this : *receiver;
     if (partitioned.partition_.deliver_on_heal) partitioned.hold(arrive);
   }
 }
--- a/tests/simulation/fault_injector.cpp
+++ b/tests/simulation/fault_injector.cpp
@@ -46,9 +46,9 @@
 }
 
 void FaultInjector::hang_machines(const std::set<std::string>& machines, Seconds duration) {
-  int left = max_hanging_machines;
+  int remaining = max_hanging_machines;
   for (const auto& machine : machines) {
-    if (left-- == 0) return;
+    if (remaining-- == 0) return;
     if (Worker* worker = fleet_.find(machine)) worker->hang(duration);
   }
 }
--- a/tests/simulation/gangs.cpp
+++ b/tests/simulation/gangs.cpp
@@ -63,8 +63,9 @@
 
 void Gangs::leave(const std::string& job, std::uint64_t attempt, std::uint32_t index) {
   const Key key{job, attempt};
-  Attempt& known = attempts_[key];
-  if (known.members.erase(index) > 0 && known.is_started && !known.is_ended) fail(key);
+  Attempt& gang_attempt = attempts_[key];
+  if (gang_attempt.members.erase(index) > 0 && gang_attempt.is_started && !gang_attempt.is_ended)
+    fail(key);
 }
 
 void Gangs::fail(const Key& key) {
@@ -79,33 +80,33 @@
                  [this, key, index = index] {
                    const auto found = attempts_[key].members.find(index);
                    if (found == attempts_[key].members.end()) return;
-                   const Member left = found->second;
-                   left.host->end_gang_task(left.run, "peers", false);
+                   const Member remaining = found->second;
+                   remaining.host->end_gang_task(remaining.run, "peers", false);
                  });
 }
 
 void Gangs::stop(const std::string& job, std::uint64_t attempt, std::uint32_t index,
                  Seconds grace) {
   const Key key{job, attempt};
-  Attempt& known = attempts_[key];
-  const auto found = known.members.find(index);
-  if (found == known.members.end()) return;
+  Attempt& gang_attempt = attempts_[key];
+  const auto found = gang_attempt.members.find(index);
+  if (found == gang_attempt.members.end()) return;
   const protocol::JobSpec& spec = *invariants_.find_job(job);
   const Seconds save_time = spec.checkpoint_save_time;
-  if (!known.is_started || known.is_ended || spec.checkpoint_interval <= Seconds{0} ||
+  if (!gang_attempt.is_started || gang_attempt.is_ended || spec.checkpoint_interval <= Seconds{0} ||
       grace < save_time) {
     const Member member = found->second;
     return member.host->end_gang_task(member.run, "halted", false);
   }
   found->second.is_stopping = true;
-  if (known.stopped_at < 0) {
-    known.stopped_at = queue_.now();
+  if (gang_attempt.stopped_at < 0) {
+    gang_attempt.stopped_at = queue_.now();
     queue_.after(timing_.peer_timeout, [this, key] {
       const Attempt& now = attempts_[key];
       if (!now.is_ended && !all_stopping(now)) fail(key);
     });
   }
-  if (all_stopping(known)) queue_.after(save_time, [this, key] { save(key); });
+  if (all_stopping(gang_attempt)) queue_.after(save_time, [this, key] { save(key); });
 }
 
 bool Gangs::all_stopping(const Attempt& attempt) {
--- a/tests/simulation/invariant_checker.cpp
+++ b/tests/simulation/invariant_checker.cpp
@@ -68,7 +68,7 @@
   const auto& spec = jobs_.at(job);
   const std::string name = task_on_machine(job, index, host.machine);
   auto& hosts = hosts_[{job, index}];
-  for (const auto& [machine, other] : hosts)
+  for (const auto& [machine, other_host] : hosts)
     if (machine != host.machine)
       record_violation(Invariant::at_most_one_copy,
                        std::string(name).append(" and ").append(machine));
@@ -109,8 +109,8 @@
        ++it) {
     const auto& [task, hosts] = *it;
     if (task.second == index) continue;
-    for (const auto& [machine, other] : hosts)
-      ++(other.zone == host.zone ? same_zone : other_zones);
+    for (const auto& [machine, other_host] : hosts)
+      ++(other_host.zone == host.zone ? same_zone : other_zones);
   }
   if (spec.one_zone && other_zones > 0)
     record_violation(Invariant::placement_constraints, name + " is not in the job's one zone");
--- a/tests/simulation/task_runner.cpp
+++ b/tests/simulation/task_runner.cpp
@@ -84,8 +84,9 @@
 }
 
 bool TaskRunner::has_unexited_attempt(const Task& task) const {
-  return std::any_of(tasks_.begin(), tasks_.end(), [&](const Task& other) {
-    return other.job == task.job && other.index == task.index && other.stage != "exited";
+  return std::any_of(tasks_.begin(), tasks_.end(), [&](const Task& other_task) {
+    return other_task.job == task.job && other_task.index == task.index &&
+           other_task.stage != "exited";
   });
 }
 
--- a/tests/unit/decoders_test.cpp
+++ b/tests/unit/decoders_test.cpp
@@ -52,21 +52,21 @@
        }},
       {frame, [](auto& s) { protocol::decode_peer_status(s); }}};
   std::mt19937_64 random(5);
-  for (const auto& [good, decode] : targets) {
-    EXPECT_NO_THROW(decode(good));
+  for (const auto& [valid_input, decode] : targets) {
+    EXPECT_NO_THROW(decode(valid_input));
     for (int round = 0; round < 3000; ++round) {
-      std::string broken = good;
+      std::string mutated_input = valid_input;
       for (int edits = 1 + static_cast<int>(random() % 4); edits > 0; --edits) {
-        const std::size_t at = random() % broken.size();
+        const std::size_t position = random() % mutated_input.size();
         if (random() % 3 == 0) {
-          broken.erase(at, 1 + random() % 5);
+          mutated_input.erase(position, 1 + random() % 5);
         } else {
-          broken[at] = static_cast<char>(random());
+          mutated_input[position] = static_cast<char>(random());
         }
-        if (broken.empty()) broken = "x";
+        if (mutated_input.empty()) mutated_input = "x";
       }
       try {
-        decode(broken);
+        decode(mutated_input);
       } catch (const DecodeError&) {
       }
     }
--- a/tests/unit/gang_test.cpp
+++ b/tests/unit/gang_test.cpp
@@ -117,18 +117,21 @@
 
 TEST_F(GangTest, IncompleteAttemptOfAFormerLeaderIsAbandoned) {
   Machine& machine = add(cluster_state, "a1", 16);
-  Job& whole = add_gang("req-1", 2);
-  Job& partial = add_gang("req-2", 3);
-  Job& mixed = add_gang("req-3", 2);
-  for (std::uint32_t i = 0; i < 2; ++i) cluster_state.restore(machine, whole, i, 7, steady_at(0));
-  for (std::uint32_t i = 0; i < 2; ++i) cluster_state.restore(machine, partial, i, 8, steady_at(0));
+  Job& complete_gang = add_gang("req-1", 2);
+  Job& partial_gang = add_gang("req-2", 3);
+  Job& mixed_attempts_gang = add_gang("req-3", 2);
   for (std::uint32_t i = 0; i < 2; ++i)
-    cluster_state.restore(machine, mixed, i, 9 + i, steady_at(0));
-  for (Job* job : {&whole, &partial, &mixed}) GangTracker::on_restored(*job, steady_at(0));
-  EXPECT_EQ(whole.gang.phase, GangAttempt::Phase::assembling);
-  EXPECT_EQ(whole.gang.number, 7u);
-  EXPECT_EQ(partial.gang.phase, GangAttempt::Phase::ending);
-  EXPECT_EQ(mixed.gang.phase, GangAttempt::Phase::ending);
+    cluster_state.restore(machine, complete_gang, i, 7, steady_at(0));
+  for (std::uint32_t i = 0; i < 2; ++i)
+    cluster_state.restore(machine, partial_gang, i, 8, steady_at(0));
+  for (std::uint32_t i = 0; i < 2; ++i)
+    cluster_state.restore(machine, mixed_attempts_gang, i, 9 + i, steady_at(0));
+  for (Job* job : {&complete_gang, &partial_gang, &mixed_attempts_gang})
+    GangTracker::on_restored(*job, steady_at(0));
+  EXPECT_EQ(complete_gang.gang.phase, GangAttempt::Phase::assembling);
+  EXPECT_EQ(complete_gang.gang.number, 7u);
+  EXPECT_EQ(partial_gang.gang.phase, GangAttempt::Phase::ending);
+  EXPECT_EQ(mixed_attempts_gang.gang.phase, GangAttempt::Phase::ending);
 }
 
 }  // namespace
--- a/tests/unit/heartbeat_handler_test.cpp
+++ b/tests/unit/heartbeat_handler_test.cpp
@@ -25,12 +25,12 @@
   machine.sequence = 7;
   EXPECT_FALSE(HeartbeatHandler::is_newer(heartbeat(machine, 7), machine));
   EXPECT_TRUE(HeartbeatHandler::is_newer(heartbeat(machine, 8), machine));
-  auto other = heartbeat(machine, 99);
-  other.incarnation = 2;
-  EXPECT_FALSE(HeartbeatHandler::is_newer(other, machine));
-  other.incarnation = 4;
-  other.sequence = 1;
-  EXPECT_TRUE(HeartbeatHandler::is_newer(other, machine));
+  auto compared_heartbeat = heartbeat(machine, 99);
+  compared_heartbeat.incarnation = 2;
+  EXPECT_FALSE(HeartbeatHandler::is_newer(compared_heartbeat, machine));
+  compared_heartbeat.incarnation = 4;
+  compared_heartbeat.sequence = 1;
+  EXPECT_TRUE(HeartbeatHandler::is_newer(compared_heartbeat, machine));
 }
 
 TEST_F(HeartbeatHandlerTest, MachineWithoutTheLeadersTokenIsNotAdopted) {
@@ -39,9 +39,9 @@
   received.token = 3;  // The leader's token is 0.
   EXPECT_EQ(handler.find_or_adopt_machine(received), nullptr);
   EXPECT_TRUE(cluster_state.machines.empty());
-  const Machine& known = add_machine("n-2");
+  const Machine& known_machine = add_machine("n-2");
   received.machine = "n-2";
-  EXPECT_EQ(handler.find_or_adopt_machine(received), &known);
+  EXPECT_EQ(handler.find_or_adopt_machine(received), &known_machine);
 }
 
 TEST_F(HeartbeatHandlerTest, NewIncarnationEvictsAllTasksOfThePreviousOne) {
--- a/tests/unit/http_server_test.cpp
+++ b/tests/unit/http_server_test.cpp
@@ -73,10 +73,10 @@
     workers.push_back(std::make_unique<Client>(port));
     EXPECT_TRUE(workers.back()->gets_response(loop, "/vital"));
   }
-  for (const auto& each : workers) EXPECT_TRUE(each->gets_response(loop, "/vital"));
-  for (const auto& each : users) EXPECT_FALSE(each->gets_response(loop, "/ordinary"));
-  const Client late(port);
-  EXPECT_FALSE(late.gets_response(loop, "/ordinary"));
+  for (const auto& client : workers) EXPECT_TRUE(client->gets_response(loop, "/vital"));
+  for (const auto& client : users) EXPECT_FALSE(client->gets_response(loop, "/ordinary"));
+  const Client refused_client(port);
+  EXPECT_FALSE(refused_client.gets_response(loop, "/ordinary"));
 }
 
 }  // namespace
--- a/tests/unit/journal_batch_test.cpp
+++ b/tests/unit/journal_batch_test.cpp
@@ -108,18 +108,18 @@
 
 TEST(JournalBatchTest, StaysWithinTheTransactionLimits) {
   JournalBatch batch;
-  JournalRecord large;
-  large.value = std::string(constants::max_transaction_bytes + 1, ' ');
-  EXPECT_TRUE(batch.fits(large, 1));
-  JournalRecord half;
-  half.value = std::string(constants::max_transaction_bytes / 2, ' ');
-  batch.add(half);
-  EXPECT_FALSE(batch.fits(half, 1));
-  EXPECT_TRUE(batch.fits(half, 2));
-  EXPECT_FALSE(batch.fits(large, 2));
+  JournalRecord large_record;
+  large_record.value = std::string(constants::max_transaction_bytes + 1, ' ');
+  EXPECT_TRUE(batch.fits(large_record, 1));
+  JournalRecord half_size_record;
+  half_size_record.value = std::string(constants::max_transaction_bytes / 2, ' ');
+  batch.add(half_size_record);
+  EXPECT_FALSE(batch.fits(half_size_record, 1));
+  EXPECT_TRUE(batch.fits(half_size_record, 2));
+  EXPECT_FALSE(batch.fits(large_record, 2));
   batch.clear();
   EXPECT_TRUE(batch.empty());
-  EXPECT_TRUE(batch.fits(large, 2));
+  EXPECT_TRUE(batch.fits(large_record, 2));
 }
 
 TEST(JournalBatchTest, GroupsEntriesByRecordSize) {
--- a/tests/unit/journal_test.cpp
+++ b/tests/unit/journal_test.cpp
@@ -12,24 +12,25 @@
 using protocol::DecodeError;
 
 std::vector<JournalEntry> merged(const std::vector<JournalEntry>& entries) {
-  std::vector<JournalEntry> out;
-  for (const JournalEntry& each : entries)
-    if (out.empty() || !merge_entries(out.back(), each, constants::max_journal_entry_elements))
-      out.push_back(each);
-  return out;
+  std::vector<JournalEntry> result;
+  for (const JournalEntry& entry : entries)
+    if (result.empty() ||
+        !merge_entries(result.back(), entry, constants::max_journal_entry_elements))
+      result.push_back(entry);
+  return result;
 }
 
 ReplayedState replay(const std::vector<JournalEntry>& entries) {
-  ReplayedState out;
-  for (const JournalEntry& each : entries) out.apply(each);
-  return out;
+  ReplayedState result;
+  for (const JournalEntry& entry : entries) result.apply(entry);
+  return result;
 }
 
 std::vector<std::string> encoded(const std::vector<JournalEntry>& entries) {
-  std::vector<std::string> out;
-  out.reserve(entries.size());
-  for (const JournalEntry& each : entries) out.push_back(encode(each).dump());
-  return out;
+  std::vector<std::string> result;
+  result.reserve(entries.size());
+  for (const JournalEntry& entry : entries) result.push_back(encode(entry).dump());
+  return result;
 }
 
 const std::vector<JournalEntry> sample_entries = {
--- a/tests/unit/planner_fixture.hpp
+++ b/tests/unit/planner_fixture.hpp
@@ -21,9 +21,9 @@
   Plan plan() { return make_plan(cluster_state, context); }
   /// Applies the plan's placements to the cluster state, each with an attempt number of its own.
   void apply(const Plan& new_plan) {
-    for (const auto& each : new_plan.placements)
-      cluster_state.place(cluster_state.machines.at(each.machine), cluster_state.jobs.at(each.job),
-                          ++attempts, steady_at(0));
+    for (const auto& planned : new_plan.placements)
+      cluster_state.place(cluster_state.machines.at(planned.machine),
+                          cluster_state.jobs.at(planned.job), ++attempts, steady_at(0));
   }
 
   ClusterState cluster_state;
--- a/tests/unit/records_test.cpp
+++ b/tests/unit/records_test.cpp
@@ -33,9 +33,9 @@
                             wall_at(1.7e9), false};
   record.spec.types.emplace(100, std::string(30, 't'));
   ASSERT_GT(storage::encode(record).dump().size(), 2048u);
-  const Json small = storage::encode_cancelled(record, 1843);
-  EXPECT_LE(small.dump().size(), 1843u);
-  EXPECT_TRUE(storage::decode_job(small).cancelled);
+  const Json shortened = storage::encode_cancelled(record, 1843);
+  EXPECT_LE(shortened.dump().size(), 1843u);
+  EXPECT_TRUE(storage::decode_job(shortened).cancelled);
   EXPECT_TRUE(storage::decode_job(storage::encode_cancelled(record, 7372)).spec.types);
 }
 
--- a/tests/unit/resources_test.cpp
+++ b/tests/unit/resources_test.cpp
@@ -22,11 +22,11 @@
 }
 
 TEST(ResourcesTest, RefusesAmountsAboveTheBoundAndNamesTheField) {
-  Json large = message;
-  large["ram_gb"] = 11;
-  EXPECT_EQ(parse_resources(large).memory, 11000);
+  Json large_amounts = message;
+  large_amounts["ram_gb"] = 11;
+  EXPECT_EQ(parse_resources(large_amounts).memory, 11000);
   try {
-    parse_resources(large, 10);
+    parse_resources(large_amounts, 10);
     FAIL() << "an amount above the bound was taken";
   } catch (const DecodeError& error) {
     EXPECT_EQ(error.field(), "ram_gb");
--- a/tests/unit/scale_in_policy_test.cpp
+++ b/tests/unit/scale_in_policy_test.cpp
@@ -52,9 +52,9 @@
 TEST_F(ScaleInPolicyTest, DrainsAMachineWithReplicasOnlyIfTheyFitElsewhere) {
   place_replica(add(cluster_state, "a1", 16));
   EXPECT_EQ(machines_to_drain(), Ids{});
-  Machine& other = add(cluster_state, "a2", 16);
-  place_replica(other);
-  place_replica(other);
+  Machine& other_machine = add(cluster_state, "a2", 16);
+  place_replica(other_machine);
+  place_replica(other_machine);
   EXPECT_EQ(machines_to_drain(), Ids{"a1"});
 }
 
--- a/tests/unit/scheduling_loop_test.cpp
+++ b/tests/unit/scheduling_loop_test.cpp
@@ -56,7 +56,7 @@
 
 TEST_F(SchedulingLoopTest, MachineIsExpectedToGetTasksOnlyWhileAPlanIsRequested) {
   const Machine& machine = add_machine("a1", 2);
-  const Machine& small = add_machine("a2", 1);
+  const Machine& small_machine = add_machine("a2", 1);
   add_job("req-1", JobKind::array, 20);  // Each task needs 2 CPUs.
   scheduling.request_plan();
   ASSERT_TRUE(scheduling.run_if_due());
@@ -64,7 +64,7 @@
   EXPECT_FALSE(scheduling.may_place_on(add_machine("a4", 2)));
   scheduling.request_plan();
   EXPECT_FALSE(scheduling.may_place_on(machine));  // It has no free CPU.
-  EXPECT_FALSE(scheduling.may_place_on(small));
+  EXPECT_FALSE(scheduling.may_place_on(small_machine));
   EXPECT_TRUE(scheduling.may_place_on(add_machine("a3", 2)));
 }
 
--- a/tests/unit/submission_test.cpp
+++ b/tests/unit/submission_test.cpp
@@ -62,15 +62,15 @@
 }
 
 TEST(SubmissionTest, TreatsNullAsAbsent) {
-  Json with = Json::parse(submission);
-  with["builds"] = nullptr;
-  with["due_s"] = nullptr;
-  Json without = with;
-  without.erase("builds");
-  without.erase("due_s");
-  without.erase("yard");
-  EXPECT_EQ(protocol::encode_submission(protocol::parse_submission(with)),
-            protocol::encode_submission(protocol::parse_submission(without)));
+  Json body_with_nulls = Json::parse(submission);
+  body_with_nulls["builds"] = nullptr;
+  body_with_nulls["due_s"] = nullptr;
+  Json body_without_fields = body_with_nulls;
+  body_without_fields.erase("builds");
+  body_without_fields.erase("due_s");
+  body_without_fields.erase("yard");
+  EXPECT_EQ(protocol::encode_submission(protocol::parse_submission(body_with_nulls)),
+            protocol::encode_submission(protocol::parse_submission(body_without_fields)));
 }
 
 TEST(SubmissionTest, DecodesAndEncodesGangs) {
