--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -84,7 +84,7 @@
   if (election_.is_leader()) {
     observation.emplace();
     observation->is_ready = leader_.ready();
-    observation->lease_holds = election_.lease_holds();
+    observation->has_valid_lease = election_.has_valid_lease();
     observation->has_recent_peer_status = peer_monitor_.has_recent_peer_status();
     observation->responsive_machines = leader_.responsive_machine_count();
   }
--- a/src/coordination/fleet/fleet_manager.cpp
+++ b/src/coordination/fleet/fleet_manager.cpp
@@ -51,7 +51,7 @@
   // Neither the cloud nor a worker checks which controller releases a machine. While this
   // controller was paused or cut off from the state service, a new leader may have placed tasks on
   // the machine, so nothing is released without a valid lease.
-  if (!registry_.is_active() || !election_.lease_holds()) return;
+  if (!registry_.is_active() || !election_.has_valid_lease()) return;
   catalog_updater_.refresh_if_due();
   if (catalog_.empty()) return;
   scale_out_.request_due_rentals();
