--- a/src/constants.hpp
+++ b/src/constants.hpp
@@ -249,7 +249,7 @@
 // attempt assembles sooner.
 inline constexpr double gang_replacement_share = 0.4;
 // Seconds after the newest gang of a class for which capacity is kept ready for the next one.
-inline constexpr Seconds gang_room_kept_for{120.0};
+inline constexpr Seconds gang_capacity_retention{120.0};
 // Seconds; the shortest run time that the planner assumes, so that no load is zero.
 inline constexpr Seconds min_estimated_run_time{1.0};
 // Pause after a plan as a multiple of its duration: planning uses at most a tenth of the time.
--- a/src/planning/autoscaler/capacity_demand.cpp
+++ b/src/planning/autoscaler/capacity_demand.cpp
@@ -115,11 +115,11 @@
     }
   }
 
-  // Adds room for the next gang of each class that had one within `gang_room_kept_for`, as large as
-  // the largest recent gang of the class.
+  // Adds room for the next gang of each class that had one within `gang_capacity_retention`, as
+  // large as the largest recent gang of the class.
   void add_gang_reserves() {
     for (const auto& [name, recent] : cluster_state_.recent_gangs)
-      if (context_.wall_now - recent.last_submitted_at < constants::gang_room_kept_for)
+      if (context_.wall_now - recent.last_submitted_at < constants::gang_capacity_retention)
         add(recent.largest, recent.largest.tasks, DemandPurpose::reserve, true);
   }
 
