--- a/src/coordination/leader/task_reconciler.cpp
+++ b/src/coordination/leader/task_reconciler.cpp
@@ -152,7 +152,7 @@
 }
 
 void TaskReconciler::record_cached_image(Machine& machine, const Job& job) {
-  const bool was_cached = machine.holds(job.spec().image);
+  const bool was_cached = machine.has_cached(job.spec().image);
   machine.mark_image_used(job.spec().image, job.spec().image_gb);
   if (!was_cached) journal_.append(storage::ImageCached{machine.id, machine.images.back()});
 }
@@ -176,10 +176,10 @@
   });
 }
 
-void TaskReconciler::evict_all(Machine& machine, const std::string& why) {
+void TaskReconciler::evict_all(Machine& machine, const std::string& reason) {
   if (!machine.placements.empty())
     spdlog::info("machine evicted id={} tasks={} why=\"{}\"", machine.id, machine.placements.size(),
-                 why);
+                 reason);
   for (auto& placed_task : machine.placements) remove_placement(machine, placed_task);
   machine.placements.clear();
 }
--- a/src/protocol/route.hpp
+++ b/src/protocol/route.hpp
@@ -9,7 +9,7 @@
 
 /// The kind of a request, as its path alone determines it.
 struct Route {
-  enum class Kind : std::uint8_t { submit, show, cancel, up, heartbeat, none };
+  enum class Kind : std::uint8_t { submit, show, cancel, health_check, heartbeat, none };
 
   Kind kind = Kind::none;
   std::string id;  ///< Job id of `show` and `cancel`, not validated; otherwise empty.
--- a/src/protocol/submission.hpp
+++ b/src/protocol/submission.hpp
@@ -26,7 +26,7 @@
   JobKind kind = JobKind::array;
   Priority priority = Priority::normal;
   std::uint32_t tasks = 0;
-  Resources each;                                 ///< Resources of one task.
+  Resources task_resources;                       ///< Resources of one task.
   std::optional<std::vector<std::string>> types;  ///< Allowed machine types; nullopt: all.
   std::optional<std::string> zone;                ///< The only allowed zone; nullopt: all.
   bool one_zone = false;                          ///< All tasks must run in the same zone.
@@ -41,7 +41,7 @@
 };
 
 /// Whether the id has the form of a job id: "req-" and decimal digits, at most
-/// `constants::max_id_bytes` bytes in all.
+/// `constants::max_job_id_bytes` bytes in all.
 bool valid_job_id(const std::string& id);
 
 /// Throws DecodeError for the first field that is missing or invalid.
--- a/tests/unit/consistent_reader_test.cpp
+++ b/tests/unit/consistent_reader_test.cpp
@@ -31,7 +31,7 @@
     record.spec.team = "vision";
     record.spec.image = "img-07";
     record.spec.tasks = 1;
-    record.spec.each = {1000, 0, 1000};
+    record.spec.task_resources = {1000, 0, 1000};
     simulation::write_record(service, storage::job_key(job_id), storage::encode(record));
   }
 
@@ -49,7 +49,7 @@
     return received;
   }
 
-  ConsistentReader reader{caller, store, shared_state, settings.state_limits};
+  ConsistentReader reader{caller, key_value_client, shared_state, settings.state_limits};
 };
 
 TEST_F(ConsistentReaderTest, ConfirmsACachedJobAsActive) {
