--- a/src/cluster/gang_attempt.hpp
+++ b/src/cluster/gang_attempt.hpp
@@ -18,7 +18,7 @@
     assembling,  // Every task is placed or to be replaced; none has been reported as running.
     running,     // At least one task has been reported as running.
     stopping,    // All tasks are to save and stop together.
-    ending       // The attempt failed, for example by a lost task: the others are stopped.
+    ending       // The attempt failed, e.g. by a lost task: the others stop without saving.
   };
 
   Phase phase = Phase::none;
--- a/src/cluster/job.hpp
+++ b/src/cluster/job.hpp
@@ -61,7 +61,8 @@
   /// fails on every machine only so many that at most `max_retrying_tasks` are placed.
   std::uint32_t schedulable_tasks() const;
 
-  /// Clears the recorded failures, after a task of the job ran without failing.
+  /// Clears the recorded failures. Called when a task of the job has finished, or has run longer
+  /// than the failed ones without failing itself.
   void reset_failures();
 
   /// Marks the next waiting task as placed on the machine and returns its index. At least one task
@@ -76,6 +77,7 @@
 
   /// Marks all remaining tasks as finished: the tasks of a gang complete together.
   void finish_all();
+
   /// Whether lost tasks of a gang may be replaced: its attempt is still assembling and was placed
   /// at most `max_wait` ago, and every machine with one of its tasks has sent a heartbeat since the
   /// latest loss.
--- a/src/cluster/machine.hpp
+++ b/src/cluster/machine.hpp
@@ -55,11 +55,11 @@
   bool is_unresponsive = false;  // It sends heartbeats, but responses seem to be lost.
 
   // Failures.
-  int failures = 0;  // Blamed on it, since a task last completed on it.
-  // Incarnations and leases in a row that ended although starts were sent, none of which was listed
-  // in a heartbeat.
+  int failures = 0;  // Task failures attributed to the machine since a task last finished on it.
+  // Incarnations and worker leases in a row that ended although start commands were sent, without a
+  // heartbeat that listed any of the tasks.
   int incarnations_without_start = 0;
-  std::set<std::string> failed_jobs;
+  std::set<std::string> failed_jobs;  // Jobs of the tasks counted in `failures`.
   SteadyTime avoid_until;
   SteadyTime unresponsive_since;
 
--- a/src/constants.hpp
+++ b/src/constants.hpp
@@ -105,8 +105,8 @@
 // 1 s until it tries the next controller), so it is counted within the window. Far below a worker
 // lease.
 inline constexpr Seconds reachability_window{6.0};
-// A leader resigns when peers redirect more than this many times as many heartbeats as it receives
-// directly. A fault of one zone or of some machines does not reach this ratio.
+// A leader resigns when the heartbeats that peers redirect to it exceed this multiple of those that
+// it receives directly. A fault of one zone or of some machines does not reach this ratio.
 inline constexpr std::uint64_t resign_ratio = 4;
 // Longest time between two heartbeats of a worker, as a multiple of `heartbeat_interval`
 // (PROTOCOL: the interval varies by a quarter).
@@ -178,14 +178,15 @@
 // values must be small.
 inline constexpr std::size_t max_journal_entry_elements = 64;
 // Fraction of the state service's changes per second at which the journal sends transactions. At
-// the usual limits this is about one every 0.15 s, which the start of a task waits for, too.
+// the usual limits this is about one every 0.15 s. The start of a task waits for its transaction.
 inline constexpr double journal_rate_share = 0.15;
 // Fraction of the state service's changes per second that the journal may use in total. Where
 // values are small its transactions contain many changes; without this limit the final records,
 // which have a lower priority than the journal, were delayed by minutes.
 inline constexpr double journal_change_share = 0.3;
-// Lower bound of the snapshot chunks in one transaction. More would delay users' writes; only a
-// snapshot that could not be completed before the segments run out uses more.
+// Lower bound of the maximum number of snapshot chunks in one transaction. The maximum is higher
+// only where a snapshot could otherwise not be completed before the segments run out, since more
+// chunks delay users' writes.
 inline constexpr std::size_t min_snapshot_chunks_per_write = 2;
 // Seconds before a journal transaction that failed or was not answered is sent again.
 inline constexpr Seconds journal_retry_pause{0.1};
@@ -221,9 +222,9 @@
 // the time that a gang needs to save: the response to one heartbeat carries the stop command, and a
 // later heartbeat proves that the task has exited.
 inline constexpr double preemption_stop_heartbeats = 2.5;
-// Start commands of one task that the next heartbeat does not list, or incarnations in a row that
-// end without listing any started task, after which responses to the machine are assumed to be
-// lost.
+// Responses to a machine are assumed to be lost after this many start commands for one task that
+// the next heartbeat did not list, or after this many incarnations or worker leases in a row that
+// ended although start commands were sent, without a heartbeat that listed any of the tasks.
 inline constexpr int max_unacknowledged_starts = 2;
 // Worker leases after which a machine that does not receive responses is released.
 inline constexpr double unresponsive_leases_before_release = 3;
@@ -299,17 +300,19 @@
 inline constexpr double boot_timeout_factor = 4.0;
 // Seconds; allowance for types whose boot time is close to zero.
 inline constexpr Seconds boot_timeout_allowance{30.0};
-// Seconds beyond its worker lease for which a machine may be silent before it is released. The
-// cloud lists a machine that has failed after half a minute; one that hangs or is cut off may
-// return with its cached images.
+// Seconds beyond its worker lease for which a machine may be silent before it is released. A
+// machine that has crashed is listed as failed by the cloud after half a minute; one that hangs or
+// is cut off may return with its cached images.
 inline constexpr Seconds silence_grace{90.0};
-// Seconds for which the fleet keeps capacity for the highest demand, since deleting a machine costs
-// at least 60 s of rent. Default of the property `fleet.idle-keep-s`.
+// Seconds for which the fleet keeps capacity for a peak in demand after the demand has dropped,
+// since deleting a machine costs at least 60 s of rent. Default of the property
+// `fleet.idle-keep-s`.
 inline constexpr Seconds idle_keep{40.0};
-// Multiple of that highest demand for which capacity is kept, to have some for new work.
+// Multiple of the peak demand of the last `idle_keep` for which capacity is kept, to have some for
+// new work.
 inline constexpr double demand_headroom_factor = 1.1;
-// Largest fraction of the machines that are candidates for draining of which draining may start in
-// one capacity pass.
+// Largest fraction, rounded up to whole machines, of the candidates for draining that one capacity
+// pass starts to drain.
 inline constexpr double max_drain_share = 0.05;
 // Largest fraction of a machine's cpus used by services at which it may be drained by moving their
 // replicas to other machines.
@@ -360,8 +363,8 @@
 // Relative surcharge on an offer's price when the whole fleet consists of that offer: no machine
 // type or zone should provide all capacity.
 inline constexpr double max_concentration_surcharge = 0.3;
-// Fraction of the running services' tasks for which additional capacity is kept free or booting.
-// Default of the property `fleet.service-reserve`.
+// Additional capacity that is kept free or booting for each job class of services, as a fraction of
+// the replicas that the class requires. Default of the property `fleet.service-reserve`.
 inline constexpr double service_reserve = 0.12;
 
 }  // namespace poppystile::constants
--- a/src/planning/labl.cpp
+++ b/src/planning/labl.cpp
@@ -191,13 +191,13 @@
     return best;
   }
 
-  /// The least loaded local server, or the least loaded remote one if a task ends sooner there;
-  /// nothing when no server may run the job.
+  /// The least loaded local server, or the least loaded remote one if a task would end there before
+  /// that local server could start it; nothing when no server may run the job.
   std::optional<std::size_t> best_server(std::size_t job) {
     const auto local = least_loaded_server(job, Locality::local);
     const auto remote = least_loaded_server(job, Locality::remote);
-    // Not in the paper: a remote server is chosen if a task would end there before the least loaded
-    // local server could start it.
+    // Not in the paper: the remote server is chosen if a task would end there before the least
+    // loaded local server could start it.
     const bool is_remote_sooner =
         remote && (!local || plan_.load[*remote] + task_cost(job, *remote) < plan_.load[*local]);
     return is_remote_sooner ? remote : local;
--- a/src/planning/planner.hpp
+++ b/src/planning/planner.hpp
@@ -15,7 +15,8 @@
 
 namespace poppystile::planning {
 
-/// One waiting task of `job` is to be placed on `machine` (ids). The caller chooses which one.
+/// One waiting task of the job with the id `job` is to be placed on the machine with the id
+/// `machine`. The caller chooses the task.
 struct PlannedPlacement {
   std::string machine;
   std::string job;
@@ -53,7 +54,9 @@
   Seconds heartbeat_interval{1};
   WallTime wall_now;
   const std::vector<protocol::FinishAim>* finish_aims = nullptr;
-  Seconds gang_task_replacement_window{0};  // GangTimes::task_replacement_window
+  // How long after the placement of a gang its lost tasks may be replaced
+  // (`GangTimes::task_replacement_window`).
+  Seconds gang_task_replacement_window{0};
 };
 
 /// Plans the schedulable tasks of all jobs onto the schedulable machines: services, then the first
--- a/src/planning/preemption.hpp
+++ b/src/planning/preemption.hpp
@@ -21,10 +21,10 @@
   Preemption(PlanDraft& draft, const JobOrder& order)
       : draft_(draft), victim_selector_(draft, order) {}
 
-  /// Reserves resources for one task of `waiting_job` on one machine: those of stopping tasks or,
-  /// where these are not enough, those of the fewest tasks, which are preempted. The task itself is
-  /// not placed. Returns false when no machine can free enough, or when all searches of this plan
-  /// are used up.
+  /// Reserves resources for one task of `waiting_job` on one machine: free ones and those of
+  /// stopping tasks or, where these are not enough on any machine, also those of the fewest tasks,
+  /// which are preempted. The task itself is not placed. Returns false when no machine can free
+  /// enough, or when all searches of this plan are used up.
   bool make_room(const cluster::Job& waiting_job);
 
   /// Reserves resources for all schedulable tasks of a gang in `zone`, or in any zone if `zone` is
@@ -49,8 +49,8 @@
 
   /// Counts a search for victims. Returns false when all searches of this plan are used up.
   bool count_search();
-  /// Reserves resources of stopping tasks for one task of the job. Returns false when no machine
-  /// has enough.
+  /// Reserves resources for one task of the job on a machine where those that are free or being
+  /// freed are enough. Returns false when there is none.
   bool reserve_being_freed(const protocol::JobSpec& job);
   /// Returns nothing when no machine can free enough for one task of `waiting_job`.
   std::optional<BestVictims> find_best_victims(const cluster::Job& waiting_job);
--- a/src/planning/service_placement.hpp
+++ b/src/planning/service_placement.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// Places replicas of services, each on the machine with the least startup delay. A replica is left
-/// to wait for a booting machine if it would start later on the others, which may have many images
-/// to fetch.
+/// Places replicas of services, each on the machine with the least startup delay. A replica waits
+/// for a booting machine if it would start later on every machine that is up, for example because
+/// these have many images to fetch.
 #pragma once
 
 #include <vector>
--- a/src/storage/journal_replay.hpp
+++ b/src/storage/journal_replay.hpp
@@ -27,7 +27,7 @@
   /// Whether there is nothing to replay: neither a current snapshot nor a segment.
   bool empty() const { return head_.generation == 0 && segments_.empty(); }
 
-  /// The stored head; if there is none, a head without a snapshot whose first segment is 1.
+  /// The stored head; if there is none, one without a snapshot, so that replay begins at segment 1.
   const JournalHead& head() const { return head_; }
 
   /// The number of the newest segment, or 0 if there is none.
--- a/src/storage/records.hpp
+++ b/src/storage/records.hpp
@@ -35,6 +35,7 @@
 
 inline std::string job_key(const std::string& id) { return keys::jobs + id; }
 inline std::string final_record_key(const std::string& id) { return keys::over + id; }
+
 /// The elected leader and its fencing token.
 struct LeaderRecord {
   std::string name;
--- a/tests/unit/planner_test.cpp
+++ b/tests/unit/planner_test.cpp
@@ -62,8 +62,8 @@
   EXPECT_TRUE(plan().preemptions.empty());  // the preempted task is freeing resources
 }
 
-// A requeued task of a restored job is in `requeued` and may lie beyond `next_unplaced` as well. It
-// must be placed once only.
+// Guards against a task being placed twice because it is in `requeued` and also lies beyond
+// `next_unplaced`, where a restored job may have placed tasks.
 TEST_F(PlannerTest, ARequeuedTaskIsPlacedOnce) {
   add(cluster_state, spec("req-1", JobKind::array, 4, Priority::normal));
   Job& job = cluster_state.jobs.at("req-1");
@@ -94,7 +94,7 @@
   for (const auto& each : plan().placements) EXPECT_EQ(each.job, "req-2");
 }
 
-// A part of the starved array's tasks goes first; the other array gets the rest.
+// A part of the starved array's tasks is placed first; the other array gets the remaining CPUs.
 TEST_F(PlannerTest, FirstTasksOfAStarvedArrayArePlacedBesideAnArrayThatCanMeetItsTarget) {
   context.wall_now = wall_at(400);
   JobSpec starved_job = spec("req-1", JobKind::array, 60, Priority::normal);
--- a/tests/unit/production_forms_test.cpp
+++ b/tests/unit/production_forms_test.cpp
@@ -1,8 +1,9 @@
 /// \file
-/// Stored records and peer frames in the exact form that the version in production (commit 94473f9,
-/// `production` in deploy/service.toml) writes. During an upgrade both versions run at the same
-/// time and read each other's data, so this version must read these samples and write the same
-/// bytes. The samples were recorded and verified with the sources of that commit.
+/// Stored records and peer frames of arrays and services, in the exact form that the version in
+/// production (commit 94473f9, `production` in deploy/service.toml) writes. During an upgrade both
+/// versions run at the same time and read each other's data, so this version must read these
+/// samples and write the same bytes. The samples were recorded and verified with the sources of
+/// that commit.
 #include <gtest/gtest.h>
 
 #include "protocol/peer_messages.hpp"
--- a/tests/unit/team_quotas_test.cpp
+++ b/tests/unit/team_quotas_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Tests of how many more tasks the limits and the use of a team allow.
+/// Tests of how many more tasks the limits and the usage of a team allow.
 #include "planning/team_quotas.hpp"
 
 #include <gtest/gtest.h>
