--- a/src/planning/array_placement.cpp
+++ b/src/planning/array_placement.cpp
@@ -38,7 +38,7 @@
     std::uint32_t remaining =
         std::min(count_unplaced(*job, placed_by_job), draft_.quotas().remaining_tasks(spec));
     while (remaining > 0 && place_anywhere(spec)) --remaining;
-    while (remaining > 0 && preemption_.make_room(*job)) --remaining;
+    while (remaining > 0 && preemption_.reserve_for_task(*job)) --remaining;
   }
 }
 
--- a/src/planning/gang_placement.cpp
+++ b/src/planning/gang_placement.cpp
@@ -29,12 +29,12 @@
   const std::string& id = job.spec().id;
   if (draft_.quotas().remaining_tasks(job.spec()) < job.schedulable_tasks()) {
     draft_.record_waiting_gang(id, GangWaitReason::team_limit);
-  } else if (make_room(job)) {
-    return draft_.record_waiting_gang(id, GangWaitReason::making_room);
+  } else if (preempt_in_any_zone(job)) {
+    return draft_.record_waiting_gang(id, GangWaitReason::resources_being_freed);
   } else {
-    draft_.record_waiting_gang(id, GangWaitReason::no_room);
+    draft_.record_waiting_gang(id, GangWaitReason::insufficient_resources);
   }
-  reserve_free_room(job);
+  reserve_free_resources(job);
 }
 
 bool GangPlacement::place_all_tasks(const Job& job) {
@@ -51,10 +51,10 @@
   return true;
 }
 
-bool GangPlacement::make_room(const Job& job) {
+bool GangPlacement::preempt_in_any_zone(const Job& job) {
   const auto zones = zones_to_try(job.spec());
   return std::any_of(zones.begin(), zones.end(), [&](const std::string& zone) {
-    return preemption_.make_room_for_gang(job, zone);
+    return preemption_.reserve_for_gang(job, zone);
   });
 }
 
@@ -133,7 +133,7 @@
   return best_zone;
 }
 
-void GangPlacement::reserve_free_room(const Job& job) {
+void GangPlacement::reserve_free_resources(const Job& job) {
   if (!may_reserve(job)) return;
   const auto zone = find_zone_to_reserve(job);
   if (!zone) return;
--- a/src/planning/gang_placement.hpp
+++ b/src/planning/gang_placement.hpp
@@ -54,11 +54,11 @@
   std::vector<std::string> zones_to_try(const protocol::JobSpec& job) const;
   /// Preempts work for the whole gang in the first zone where this frees enough. Returns false,
   /// with nothing preempted, when there is no such zone.
-  bool make_room(const cluster::Job& job);
+  bool preempt_in_any_zone(const cluster::Job& job);
   /// Reserves free resources and team quota for the gang, so that the rest of this plan does not
   /// use them. Does so in a part of each period only (`may_reserve`), so that single tasks can
   /// start in the rest of it.
-  void reserve_free_room(const cluster::Job& job);
+  void reserve_free_resources(const cluster::Job& job);
   /// Whether the present time is in the first `constants::gang_reservation_time` of a period.
   /// Periods of `constants::gang_reservation_period` follow one another from the gang's acceptance.
   bool may_reserve(const cluster::Job& job) const;
--- a/src/planning/planner.cpp
+++ b/src/planning/planner.cpp
@@ -76,9 +76,9 @@
   switch (reason) {
     case GangWaitReason::team_limit:
       return "the team's remaining quota is too small for all tasks";
-    case GangWaitReason::no_room:
+    case GangWaitReason::insufficient_resources:
       return "not enough resources for all tasks at once";
-    case GangWaitReason::making_room:
+    case GangWaitReason::resources_being_freed:
       return "other tasks are stopping to free resources";
   }
   return "";
--- a/src/planning/preemption.cpp
+++ b/src/planning/preemption.cpp
@@ -11,7 +11,7 @@
 using protocol::JobSpec;
 using protocol::Resources;
 
-bool Preemption::make_room(const Job& waiting_job) {
+bool Preemption::reserve_for_task(const Job& waiting_job) {
   const JobSpec& job = waiting_job.spec();
   if (reserve_being_freed(job)) return true;
   if (!count_search()) return false;
@@ -22,7 +22,7 @@
   return true;
 }
 
-bool Preemption::make_room_for_gang(const Job& waiting_job, const std::string& zone) {
+bool Preemption::reserve_for_gang(const Job& waiting_job, const std::string& zone) {
   if (!count_search()) return false;
   const auto shares = find_gang_shares(waiting_job, zone);
   if (!shares) return false;
--- a/src/planning/preemption.hpp
+++ b/src/planning/preemption.hpp
@@ -25,13 +25,13 @@
   /// stopping tasks or, where these are not enough on any machine, also those of the fewest tasks,
   /// which are preempted. The task itself is not placed. Returns false when no machine can free
   /// enough, or when all searches of this plan are used up.
-  bool make_room(const cluster::Job& waiting_job);
+  bool reserve_for_task(const cluster::Job& waiting_job);
 
   /// Reserves resources for all schedulable tasks of a gang in `zone`, or in any zone if `zone` is
   /// empty: free ones, those of stopping tasks and those of tasks that are preempted. Returns
   /// false, with nothing preempted or reserved, when these are not enough for the whole gang or all
   /// searches of this plan are used up.
-  bool make_room_for_gang(const cluster::Job& waiting_job, const std::string& zone);
+  bool reserve_for_gang(const cluster::Job& waiting_job, const std::string& zone);
 
  private:
   /// Tasks of a gang that fit on one machine once its stopping tasks and the victims have exited.
--- a/src/planning/service_placement.cpp
+++ b/src/planning/service_placement.cpp
@@ -18,7 +18,7 @@
     MachineSlot* slot = find_best_slot(draft_.slots(), spec);
     if (slot != nullptr) {
       if (!reserve_booting_machine(job, *slot)) draft_.place(*slot, spec);
-    } else if (!preemption_.make_room(job)) {
+    } else if (!preemption_.reserve_for_task(job)) {
       return;
     }
   }
