--- a/src/constants.hpp
+++ b/src/constants.hpp
@@ -111,8 +111,9 @@
 // Longest time between two heartbeats of a worker, as a multiple of `heartbeat_interval`
 // (PROTOCOL: the interval varies by a quarter).
 inline constexpr double max_heartbeat_interval_factor = 1.25;
-// Fewest machines for which missing heartbeats are evidence that workers do not reach the leader.
-// Not more: in a small fleet the worker leases would expire while its leader waits for the peers'
+// Fewest machines for which missing heartbeats are evidence that workers do not reach the leader,
+// and fewest heartbeats redirected by peers in `reachability_window` that are evidence of it. Not
+// more: in a small fleet the worker leases would expire while its leader waits for the peers'
 // counts.
 inline constexpr std::size_t reachability_min_machines = 3;
 // Seconds for which a controller that has resigned does not campaign, unless workers reach it.
