--- a/src/constants.hpp
+++ b/src/constants.hpp
@@ -251,7 +251,7 @@
 // attempt assembles sooner.
 inline constexpr double gang_replacement_share = 0.4;
 // Seconds after the newest gang of a class for which capacity is kept ready for the next one.
-inline constexpr Seconds gang_room_kept_for{120.0};
+inline constexpr Seconds gang_capacity_retention{120.0};
 // Seconds; the shortest run time that the planner assumes, so that no load is zero.
 inline constexpr Seconds min_estimated_run_time{1.0};
 // Pause after a plan as a multiple of its duration: planning uses at most a tenth of the time.
@@ -308,9 +308,9 @@
 // Seconds for which the fleet keeps capacity for a peak in demand after the demand has dropped,
 // since deleting a machine costs at least 60 s of rent. Default of the property
 // `fleet.idle-keep-s`.
-inline constexpr Seconds idle_keep{40.0};
-// Multiple of the peak demand of the last `idle_keep` for which capacity is kept, to have some for
-// new work.
+inline constexpr Seconds idle_capacity_retention{40.0};
+// Multiple of the peak demand of the last `idle_capacity_retention` for which capacity is kept, to
+// have some for new work.
 inline constexpr double demand_headroom_factor = 1.1;
 // Largest fraction, rounded up to whole machines, of the candidates for draining that one capacity
 // pass starts to drain.
--- a/src/planning/planner.hpp
+++ b/src/planning/planner.hpp
@@ -53,7 +53,7 @@
   LablWeights weights;
   Seconds heartbeat_interval{1};
   WallTime wall_now;
-  const std::vector<protocol::FinishAim>* finish_aims = nullptr;
+  const std::vector<protocol::FinishObjective>* finish_objectives = nullptr;
   // How long after the placement of a gang its lost tasks may be replaced
   // (`GangTimes::task_replacement_window`).
   Seconds gang_task_replacement_window{0};
