--- a/src/planning/planner.hpp
+++ b/src/planning/planner.hpp
@@ -15,7 +15,8 @@
 
 namespace poppystile::planning {
 
-/// One waiting task of `job` is to be placed on `machine` (ids). The caller chooses which one.
+/// One waiting task of the job with the id `job` is to be placed on the machine with the id
+/// `machine`. The caller chooses the task.
 struct PlannedPlacement {
   std::string machine;
   std::string job;
@@ -31,9 +32,9 @@
 
 /// Why a gang has to wait.
 enum class GangWaitReason : std::uint8_t {
-  team_limit,   // its tasks together exceed the remaining quota of its team
-  no_room,      // no zone has, or can free by preemption, enough for all its tasks
-  making_room,  // other tasks are stopping, and their resources are reserved for it
+  team_limit,              // its tasks together exceed the remaining quota of its team
+  insufficient_resources,  // no zone was found to have, or to free by preemption, enough
+  resources_being_freed,   // other tasks are stopping, and their resources are reserved for it
 };
 /// The reason as a text for the log.
 const char* to_string(GangWaitReason reason);
@@ -53,7 +54,9 @@
   Seconds heartbeat_interval{1};
   WallTime wall_now;
   const std::vector<protocol::FinishObjective>* finish_objectives = nullptr;
-  Seconds gang_task_replacement_window{0};  // GangTimes::task_replacement_window
+  // How long after the placement of a gang its lost tasks may be replaced
+  // (`GangTimes::task_replacement_window`).
+  Seconds gang_task_replacement_window{0};
 };
 
 /// Plans the schedulable tasks of all jobs onto the schedulable machines: services, then the first
