--- a/src/coordination/api/admission_check.cpp
+++ b/src/coordination/api/admission_check.cpp
@@ -32,8 +32,9 @@
   return max_units > 0 && total > std::llround(max_units * 1000);
 }
 
-/// Whether the team's limit can never hold the job: a single task of an array, whose tasks may run
-/// one after another, or all tasks of another job, which run at the same time.
+/// Whether the job exceeds the team's limit even if the team runs nothing else. Counts one task of
+/// an array, whose tasks may run one after another, and all tasks of other jobs, which run at the
+/// same time.
 bool exceeds_team_limit(const JobSpec& job, const TeamSettings& team) {
   const std::int64_t tasks = job.kind == JobKind::array ? 1 : job.tasks;
   return exceeds(job.each.cpus * tasks, team.cpus_max) ||
--- a/src/coordination/api/consistent_reader.hpp
+++ b/src/coordination/api/consistent_reader.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// Reads jobs with confirmation by the state service instead of from this controller's cache alone.
+/// Reads jobs from this controller's cache after confirming with the state service that it is
+/// current.
 #pragma once
 
 #include <cstdint>
--- a/src/coordination/api/job_api.hpp
+++ b/src/coordination/api/job_api.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Handles users' requests. Every controller serves them, since it confirms them with the state
-/// service.
+/// Handles users' requests. Every controller, leader or not, can serve them, because the state
+/// service confirms what the responses contain.
 #pragma once
 
 #include <cstdint>
@@ -25,9 +25,9 @@
 
 /// Handles submissions, status polls and cancellations.
 ///
-/// Each call responds exactly once. A response contains only states that the state service has
-/// confirmed. While the state service is not reachable, or too many calls to it are queued, the
-/// response is 503 with Retry-After.
+/// Each call responds exactly once. Apart from the task counts, a response contains only what the
+/// state service has confirmed. While the state service is not reachable, or too many calls to it
+/// are queued, the response is 503 with Retry-After.
 class JobApi {
  public:
   /// All references must outlive this object. `counts` returns the task counts of the job with the
@@ -38,7 +38,7 @@
 
   /// Stores a new job (201), or responds with the state of a job that is stored already (200).
   /// Responds 400 if the body is malformed, and 422 if the job can never run or its record is too
-  /// large to be stored.
+  /// large to be stored. Responds 503 while the machine types are not known.
   void submit(const std::string& body, transport::Respond respond);
 
   /// Responds with the job's state and task counts (200), or 404 if there is no such job.
--- a/src/coordination/fleet/catalog_updater.hpp
+++ b/src/coordination/fleet/catalog_updater.hpp
@@ -28,8 +28,8 @@
   void begin_term();
 
   /// Fetches the catalog if the last successful fetch is more than
-  /// `constants::catalog_refresh_interval` ago, no fetch is in flight, and the cloud's rate limit
-  /// allows a call.
+  /// `constants::catalog_refresh_interval` ago, there was none, or storing its catalog failed;
+  /// provided that no fetch is in flight and the cloud's rate limit allows a call.
   void refresh_if_due();
 
  private:
--- a/src/coordination/fleet/cloud_client.hpp
+++ b/src/coordination/fleet/cloud_client.hpp
@@ -22,7 +22,7 @@
 struct CloudError {
   enum class Reason : std::uint8_t {
     refused,      ///< No capacity, or a request that the cloud does not accept. Nothing was done.
-    unavailable,  ///< No response, or an error. The request may have been carried out.
+    unavailable,  ///< No response, or any other error. The request may have been carried out.
     malformed     ///< The request was carried out, but its response cannot be decoded.
   };
   Reason reason = Reason::unavailable;
--- a/src/coordination/fleet/fleet_manager.hpp
+++ b/src/coordination/fleet/fleet_manager.hpp
@@ -44,7 +44,8 @@
   /// Ends the term. Responses to calls in flight are ignored.
   void end_term();
   /// Refreshes the catalog, rents, drains and releases machines, and fetches the machine list, each
-  /// if due. Does nothing outside a term or without a valid leader lease.
+  /// if due. While the catalog is empty, only refreshes it. Does nothing outside a term or without
+  /// a valid leader lease.
   void run_pass();
 
   /// The pending rentals by name, for a snapshot of the journal.
@@ -61,7 +62,7 @@
   /// Records a machine in the journal and adds it to the cluster state. Returns null, and does
   /// nothing, if its type is not in the catalog.
   cluster::Machine* admit(cluster::Machine machine) { return registry_.admit(std::move(machine)); }
-  /// Sets the handler for removed machines; required before the first term. It is no constructor
+  /// Sets the handler for removed machines; required before the first term. It is not a constructor
   /// argument because constructing the handler's owner requires this object.
   void on_machine_removed(MachineRemovedHandler handler) {
     on_machine_removed_ = std::move(handler);
--- a/src/coordination/fleet/inventory_reconciler.cpp
+++ b/src/coordination/fleet/inventory_reconciler.cpp
@@ -32,8 +32,9 @@
   if (is_page_due() && cloud_.acquire_call()) fetch_page();
 }
 
-// The pages of a large fleet are fetched one at a time, at a share of the cloud's rate limit, which
-// leaves the other calls to rentals and releases.
+// The pages of a large fleet are fetched one at a time, at a share of the cloud's rate limit, so
+// that rentals and releases always get the rest. The first page is due `list_interval` after the
+// previous last page.
 bool InventoryReconciler::is_page_due() const {
   if (page_in_flight_) return false;
   const Seconds page_pause{1 / (constants::list_call_share * settings_.cloud_rps)};
@@ -59,7 +60,8 @@
 }
 
 // Machine lists are eventually consistent, and one may be older than the list fetched before it. An
-// entry was correct at some time; a missing entry proves nothing. Only the state `failed` is final.
+// entry was correct at some time; a missing entry proves nothing. Of the listed states, only
+// `failed` is final, so only it leads to a release.
 void InventoryReconciler::reconcile_listed(const ListedMachine& listed) {
   if (registry_.is_released(listed.id)) return;
   Machine* machine = registry_.find(listed.id);
--- a/src/coordination/fleet/machine_registry.hpp
+++ b/src/coordination/fleet/machine_registry.hpp
@@ -26,8 +26,8 @@
   cluster::ClusterState& cluster_state() { return *cluster_state_; }
   /// The machine with this id, or null if it is not in the cluster state.
   cluster::Machine* find(const std::string& id);
-  /// Records a machine in the journal and adds it to the cluster state. Returns null, and does
-  /// nothing, if its type is not in the catalog.
+  /// Records a machine in the journal and adds it to the cluster state, where it replaces a machine
+  /// with the same id. Returns null, and does nothing, if its type is not in the catalog.
   cluster::Machine* admit(cluster::Machine machine);
 
   /// Marks a machine whose release the cloud has confirmed, so that a late heartbeat or an outdated
--- a/src/coordination/fleet/machine_releaser.hpp
+++ b/src/coordination/fleet/machine_releaser.hpp
@@ -15,7 +15,7 @@
 namespace poppystile::coordination {
 
 /// Called once the cloud has confirmed the release of a machine, which ends all tasks on it. Must
-/// remove the machine from the cluster state.
+/// remove the machine from the cluster state. `reason` is a text for the log.
 using MachineRemovedHandler =
     std::function<void(cluster::Machine& machine, const std::string& reason)>;
 
--- a/src/coordination/fleet/rental_log.hpp
+++ b/src/coordination/fleet/rental_log.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Pending rentals: recorded in the journal, and without a final response of the cloud.
+/// Pending rentals: recorded in the journal, and neither granted, refused nor withdrawn yet.
 #pragma once
 
 #include <cstdint>
@@ -19,12 +19,12 @@
   /// Journal position that must be durable before the first request.
   std::uint64_t log_position = 0;
   bool in_flight = false;  ///< Whether a request awaits its response
-  bool requested = false;  ///< Whether a request was ever sent; it may be carried out late
+  bool requested = false;  ///< Whether a request was ever sent, which the cloud may still carry out
   SteadyTime next_request_at;
 };
 
 /// The pending rentals. Each is recorded in the journal before it may be requested, so that a later
-/// leader repeats the request and receives the ids of its machines.
+/// leader can repeat the request and receive the ids of the machines.
 class RentalLog {
  public:
   explicit RentalLog(JournalWriter& journal) : journal_(journal) {}
--- a/src/coordination/fleet/scale_in.hpp
+++ b/src/coordination/fleet/scale_in.hpp
@@ -24,12 +24,15 @@
   ScaleIn(transport::Runtime& runtime, MachineRegistry& registry, const MachineCatalog& catalog,
           MachineReleaser& releaser, const protocol::Settings& settings);
 
-  /// Starts a term. The time since a machine's last heartbeat counts from `term_started_at` at the
-  /// earliest.
+  /// Starts a term. A machine counts as silent since this leader's last response to its heartbeats,
+  /// but not since before `term_started_at`.
   void begin_term(SteadyTime term_started_at) { term_started_at_ = term_started_at; }
 
   /// Schedules the release of machines whose boot timed out, that send no heartbeats, that do not
-  /// receive responses, or that are quarantined and run no task.
+  /// receive responses, or that are quarantined and have no placements. The timeouts are
+  /// `constants::boot_timeout_factor` times the boot time plus `constants::boot_timeout_allowance`,
+  /// the worker lease plus `constants::silence_grace`, and
+  /// `constants::unresponsive_leases_before_release` worker leases.
   void release_unusable();
   /// Schedules the release of the machines in `plan.release`, and ends the draining of those in
   /// `plan.uncordon`.
--- a/src/planning/autoscaler/autoscaler.hpp
+++ b/src/planning/autoscaler/autoscaler.hpp
@@ -15,7 +15,7 @@
 
 /// The decisions of one scaling pass. Machines are given by id.
 struct ScalingPlan {
-  std::vector<RentalOrder> rent;      ///< By descending count
+  std::vector<RentalOrder> rent;      ///< By descending count; each within the rental limit
   std::vector<std::string> release;   ///< Drained machines
   std::vector<std::string> drain;     ///< Machines that shall accept no new tasks
   std::vector<std::string> uncordon;  ///< Draining machines that shall accept tasks again
--- a/src/planning/autoscaler/bin_packer.cpp
+++ b/src/planning/autoscaler/bin_packer.cpp
@@ -50,27 +50,27 @@
   }
 }
 
-// Returns the zone with the most room for the gang's tasks among the zones that have room for the
-// whole gang or in which machines can be rented; if there is none, among all zones. Returns nothing
-// if there is no zone.
+// Returns the zone with free capacity for the most of the gang's tasks, among the zones with
+// capacity for the whole gang or in which machines can be rented; if there are none, among all
+// zones. Returns nothing if there is no zone.
 std::optional<std::string> BinPacker::choose_gang_zone(const TaskDemand& demand) const {
   std::optional<std::string> best;
-  std::int64_t best_room = 0;
+  std::int64_t best_capacity = 0;
   bool best_suffices = false;
-  for (const auto& [zone, room] : task_room_by_zone(demand.spec)) {
+  for (const auto& [zone, room] : task_capacity_by_zone(demand.spec)) {
     const bool suffices = room >= demand.wanted || can_rent_in(zone, demand.spec);
-    if (best && (best_suffices > suffices || (best_suffices == suffices && best_room >= room)))
+    if (best && (best_suffices > suffices || (best_suffices == suffices && best_capacity >= room)))
       continue;
     best = zone;
-    best_room = room;
+    best_capacity = room;
     best_suffices = suffices;
   }
   return best;
 }
 
-// Returns the number of tasks for which the bins of each zone have room. Zones of the catalog
-// without suitable bins have 0.
-std::map<std::string, std::int64_t> BinPacker::task_room_by_zone(const JobSpec& spec) const {
+// Returns for how many tasks the bins of each zone have capacity: 0 for zones of the catalog
+// without suitable bins.
+std::map<std::string, std::int64_t> BinPacker::task_capacity_by_zone(const JobSpec& spec) const {
   std::map<std::string, std::int64_t> room;
   for (const auto& type : types_)
     for (const auto& zone : type.zones) room.try_emplace(zone, 0);
--- a/src/planning/autoscaler/bin_packer.hpp
+++ b/src/planning/autoscaler/bin_packer.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Packs demanded tasks into the fleet's free room, and determines which machines are missing.
+/// Packs demanded tasks into the fleet's free capacity, and determines which machines are missing.
 #pragma once
 
 #include <cstdint>
@@ -25,16 +25,16 @@
   /// bins are full. `demand` must outlive the packer.
   void pack(const TaskDemand& demand);
 
-  /// The bins, including those of added machines, with their remaining room.
+  /// The bins, including those of added machines, with their remaining capacity.
   std::vector<Bin>& bins() { return supply_.bins; }
   /// Number of added machines for each offer.
   const std::map<Offer, int>& missing_machines() const { return missing_machines_; }
-  /// Demands of waiting tasks for which there is neither room nor an offer.
+  /// Demands of waiting tasks for which there is neither enough free capacity nor an offer.
   const std::vector<const TaskDemand*>& unplaced() const { return unplaced_; }
 
  private:
   std::optional<std::string> choose_gang_zone(const TaskDemand& demand) const;
-  std::map<std::string, std::int64_t> task_room_by_zone(const protocol::JobSpec& spec) const;
+  std::map<std::string, std::int64_t> task_capacity_by_zone(const protocol::JobSpec& spec) const;
   bool can_rent_in(const std::string& zone, const protocol::JobSpec& spec) const;
 
   CapacitySupply supply_;
--- a/src/planning/autoscaler/capacity_demand.cpp
+++ b/src/planning/autoscaler/capacity_demand.cpp
@@ -21,7 +21,7 @@
 constexpr std::int64_t unlimited_cpus = std::int64_t{1} << 60;  // Thousandths of CPUs
 // Maximum number of rounds, one after another, in which the tasks of an array run.
 constexpr double max_rounds = 4.0;
-// Number of rounds for an array without a deadline.
+// Number of rounds for a new array without a deadline.
 constexpr double default_rounds = 3;
 
 // The CPUs that each team may still use under its limit, reduced as demand is added.
@@ -88,12 +88,13 @@
     demand_.tasks.push_back({spec, wanted, permitted, purpose, prefer_quick_start});
   }
 
-  // Adds room for future replicas: for each class of services, a share of its replicas with the
-  // size of the class's last job. While replicas wait, the next ones use this room as soon as it is
-  // available, so its start delay counts besides its price.
+  // Adds capacity for future replicas: for each class of services, the share `service_reserve` of
+  // its replicas, each with the size of the class's last job in packing order. While replicas wait,
+  // the next ones use the reserve as soon as it is available, so its start delay counts besides its
+  // price.
   void add_service_reserves(const std::vector<const Job*>& jobs) {
     struct ServiceClass {
-      const JobSpec* shape = nullptr;
+      const JobSpec* reserve_spec = nullptr;
       double tasks = 0;
     };
     std::map<std::string, ServiceClass> classes;
@@ -102,20 +103,20 @@
       if (job->spec().kind != JobKind::service) continue;
       replicas_wait = replicas_wait || job->schedulable_tasks() > 0;
       ServiceClass& service_class = classes[job->spec().job_class];
-      service_class.shape = &job->spec();
+      service_class.reserve_spec = &job->spec();
       service_class.tasks += job->spec().tasks;
     }
     for (const auto& [name, service_class] : classes) {
-      JobSpec shape = *service_class.shape;
-      shape.zone.reset();
+      JobSpec reserve_spec = *service_class.reserve_spec;
+      reserve_spec.zone.reset();
       const auto tasks =
           static_cast<std::uint32_t>(std::ceil(service_class.tasks * context_.service_reserve));
-      add(shape, tasks, DemandPurpose::reserve, replicas_wait);
+      add(reserve_spec, tasks, DemandPurpose::reserve, replicas_wait);
     }
   }
 
-  // Adds room for the next gang of each class that had one within `gang_room_kept_for`, as large as
-  // the largest recent gang of the class.
+  // Adds capacity for the next gang of each class that had one within `gang_room_kept_for`, as
+  // large as the largest recent gang of the class.
   void add_gang_reserves() {
     for (const auto& [name, recent] : cluster_state_.recent_gangs)
       if (context_.wall_now - recent.last_submitted_at < constants::gang_room_kept_for)
--- a/src/planning/autoscaler/capacity_demand.hpp
+++ b/src/planning/autoscaler/capacity_demand.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The room that jobs need now, and the reserves for future jobs.
+/// The capacity that jobs need now, and the reserves for future jobs.
 #pragma once
 
 #include <cstdint>
@@ -10,16 +10,16 @@
 
 namespace poppystile::planning {
 
-/// Whether room is demanded for waiting tasks or as a reserve for future jobs.
+/// Whether capacity is demanded for waiting tasks or as a reserve for future jobs.
 enum class DemandPurpose : std::uint8_t { waiting_tasks, reserve };
 
-/// Demand for the room of a number of identical tasks.
+/// Demand for the capacity of a number of identical tasks.
 struct TaskDemand {
   protocol::JobSpec spec;       ///< Size and constraints of the tasks
   std::uint32_t wanted = 0;     ///< Number of tasks, regardless of the team's limit
   std::uint32_t permitted = 0;  ///< Number of these tasks that the team's limit still allows
   DemandPurpose purpose = DemandPurpose::waiting_tasks;
-  bool prefer_quick_start = true;  ///< Whether boot and fetch times count for a service
+  bool prefer_quick_start = true;  ///< Whether a service's start delay raises an offer's price
 };
 
 /// The whole demand of one scaling pass.
@@ -28,9 +28,10 @@
   std::int64_t cpus = 0;          ///< Thousandths of CPUs: in use, demanded, and reserves
 };
 
-/// Returns how many waiting tasks of the job need room at the same time. Tasks of an array may run
-/// one after another in the same room, in as many rounds as its deadline allows, but at most four;
-/// three without a deadline. All waiting tasks of other jobs need room at the same time.
+/// Returns how many waiting tasks of the job need capacity at the same time. Tasks of an array may
+/// run one after another on the same capacity, in as many rounds as its deadline allows, but at
+/// most four; three without a deadline, fewer the longer the job has waited. All waiting tasks of
+/// other jobs need capacity at the same time.
 std::uint32_t tasks_wanted_at_once(const cluster::Job& job, WallTime now);
 
 /// Returns the demand in packing order: waiting tasks (services first, then by priority and id),
--- a/src/planning/autoscaler/capacity_supply.hpp
+++ b/src/planning/autoscaler/capacity_supply.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The free room of the fleet's machines and of pending rentals.
+/// The free capacity of the fleet's machines and of pending rentals.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 
 namespace poppystile::planning {
 
-/// The free room of one machine, which bin packing reduces as it places tasks.
+/// The free capacity of one machine, which bin packing reduces as it places tasks.
 struct Bin {
   Offer offer;
   protocol::Resources room;
@@ -39,15 +39,17 @@
   std::vector<Bin> bins;
   FleetComposition composition;
 
-  /// Adds the room of a machine to be rented. Does nothing if `types` does not contain its type.
+  /// Adds the capacity of a machine to be rented. Does nothing if `types` does not contain its
+  /// type.
   void add_rented_machine(const Offer& offer, const std::vector<protocol::MachineType>& types);
 };
 
-/// Whether a machine has been booting for longer than its type usually takes.
+/// Whether a machine has been booting for longer than `constants::boot_latest_share` times the
+/// usual boot time of its type.
 bool is_boot_overdue(const cluster::Machine& machine, WallTime now);
 
 /// Whether a machine can take tasks now or once it has booted. A machine whose boot is overdue does
-/// not count: it may never come up, so its capacity is rented again.
+/// not count: its boot may never finish, so its capacity is rented again.
 bool counts_as_capacity(const cluster::Machine& machine, WallTime now);
 
 /// The service of which `placement` is a replica, or null if it is a task of another kind of job or
@@ -55,8 +57,8 @@
 const protocol::JobSpec* service_of(const cluster::ClusterState& cluster_state,
                                     const cluster::Placement& placement);
 
-/// Returns the free room of all machines that count as capacity and are not draining, followed by
-/// that of pending rentals.
+/// Returns the free capacity of all machines that count as capacity and are not draining, followed
+/// by that of pending rentals.
 CapacitySupply measure_supply(const cluster::ClusterState& cluster_state,
                               const ScalingContext& context);
 
--- a/src/planning/autoscaler/offer_selector.cpp
+++ b/src/planning/autoscaler/offer_selector.cpp
@@ -31,10 +31,10 @@
   return offers;
 }
 
-/// The price, raised by the offer's share in the available machines and by its share of overdue
-/// boots.
+/// The price with surcharges for the offer's share of the available machines and for the share of
+/// the offer's machines whose boot is overdue.
 double weighted_price(double price, const Offer& offer, const FleetComposition& composition) {
-  // Spreads the fleet, so that no type or zone holds all machines.
+  // Spreads the fleet, so that no type or zone provides all capacity.
   const double spread_factor =
       1 + constants::max_concentration_surcharge * composition.available_share(offer);
   return price * spread_factor * (1 + composition.overdue_share(offer));
--- a/src/planning/autoscaler/offer_selector.hpp
+++ b/src/planning/autoscaler/offer_selector.hpp
@@ -20,10 +20,10 @@
       : types_(types), refused_(refused) {}
 
   /// Returns the offer with the lowest weighted price per task, among those that the job's
-  /// constraints allow, whose machines hold at least one task, and that are not in `refused`. The
-  /// weights raise the price of offers that make up much of the fleet or whose boots are overdue,
-  /// and, with `prefer_quick_start`, of offers on which a service starts late. Returns nothing if
-  /// no offer qualifies.
+  /// constraints allow, whose machines are large enough for a task, and that are not in `refused`.
+  /// The weights raise the price of offers that make up much of the fleet or whose boots are
+  /// overdue, and, with `prefer_quick_start`, of offers on which a service starts late. Returns
+  /// nothing if no offer qualifies.
   std::optional<Offer> cheapest(const protocol::JobSpec& spec, bool prefer_quick_start,
                                 const FleetComposition& composition) const;
 
--- a/src/planning/autoscaler/scale_in_policy.cpp
+++ b/src/planning/autoscaler/scale_in_policy.cpp
@@ -50,8 +50,8 @@
     Bin& bin = *candidate.bin;
     const Machine& machine = *bin.machine;
     if (machine.size.cpus > excess) continue;
-    if (bin.service_cpus > 0 && !reserve_room_for_replicas(bin)) continue;
-    // A machine on which room is reserved for replicas of another one is not drained itself.
+    if (bin.service_cpus > 0 && !reserve_capacity_for_replicas(bin)) continue;
+    // A machine on which capacity is reserved for another machine's replicas is not drained itself.
     if (bin.room.cpus != machine.room().cpus) continue;
     bin.room = {};
     excess -= machine.size.cpus;
@@ -86,6 +86,7 @@
                                             constants::demand_headroom_factor);
 }
 
+// The price per thousandth of a CPU, or 0 if the machine's type is not in the catalog.
 double ScaleInPolicy::price_per_cpu(const Machine& machine) const {
   const MachineType* type = find_machine_type(*context_.types, machine.type);
   if (type == nullptr) return 0;
@@ -93,10 +94,10 @@
          static_cast<double>(std::max<std::int64_t>(1, type->size.cpus));
 }
 
-// Reserves room on other machines for all replicas on the source. Returns false, and reserves
+// Reserves capacity on other machines for all replicas on the source. Returns false, and reserves
 // nothing, if the replicas use more than `max_moved_cpu_share` of the source's CPUs or do not all
 // fit.
-bool ScaleInPolicy::reserve_room_for_replicas(Bin& source) {
+bool ScaleInPolicy::reserve_capacity_for_replicas(Bin& source) {
   const Machine& machine = *source.machine;
   if (static_cast<double>(source.service_cpus) >
       constants::max_moved_cpu_share * static_cast<double>(machine.size.cpus))
@@ -117,7 +118,7 @@
 }
 
 // Returns the first other machine that runs services, caches the service's image, meets its
-// constraints and has room for a replica, or null if there is none.
+// constraints and has free capacity for a replica, or null if there is none.
 Bin* ScaleInPolicy::find_target(const JobSpec& service, const Bin& source) {
   const auto found = std::find_if(bins_.begin(), bins_.end(), [&](const Bin& bin) {
     return &bin != &source && bin.machine != nullptr && bin.machine->has_reported &&
--- a/src/planning/autoscaler/scale_in_policy.hpp
+++ b/src/planning/autoscaler/scale_in_policy.hpp
@@ -13,9 +13,10 @@
 
 namespace poppystile::planning {
 
-/// Returns the ids of draining machines that shall accept tasks again: all that count as capacity
-/// if machines would have to be rented; otherwise those with room for a task of an unplaced demand.
-/// A machine whose replicas fit nowhere else would drain for ever while that demand waits.
+/// Returns the ids of draining machines that shall accept tasks again. Of the draining machines
+/// that count as capacity, these are all if `machines_are_missing` (machines would have to be
+/// rented); otherwise those with free capacity for a task of an unplaced demand: a machine whose
+/// replicas fit nowhere else would drain forever while that demand waits.
 std::vector<std::string> choose_machines_to_uncordon(
     const cluster::ClusterState& cluster_state, WallTime now, bool machines_are_missing,
     const std::vector<const TaskDemand*>& unplaced);
@@ -27,17 +28,20 @@
 /// this object.
 class ScaleInPolicy {
  public:
-  /// `bins` holds the room that remains after packing. Selecting a machine removes its own room and
-  /// the room to which its replicas will move.
+  /// `bins` holds the free capacity that remains after packing. Selecting a machine removes its own
+  /// free capacity and reserves capacity on other machines for its replicas.
   ScaleInPolicy(const cluster::ClusterState& cluster_state, const ScalingContext& context,
                 std::vector<Bin>& bins)
       : cluster_state_(cluster_state), context_(context), bins_(bins) {}
 
-  /// Returns the ids of machines to drain, at most the share `constants::max_drain_share` of the
-  /// candidates. Candidates are machines that have reported and in whose room nothing was packed.
-  /// Those with the fewest CPUs used by services come first, then those with the highest price per
-  /// CPU, then those with the fewest CPUs in use. A machine with replicas is selected only if they
-  /// are few and fit elsewhere.
+  /// Returns the ids of machines to drain. The remaining machines have at least the CPUs of the
+  /// highest recent demand, times `constants::demand_headroom_factor`.
+  ///
+  /// Candidates are machines that have sent a heartbeat and on which nothing was packed. At most
+  /// the share `constants::max_drain_share` of them, rounded up, is selected: first those with the
+  /// fewest CPUs used by services, then those with the highest price per CPU, then those with the
+  /// fewest CPUs in use. A machine with replicas is selected only if they use at most
+  /// `constants::max_moved_cpu_share` of its CPUs and all fit on other machines.
   std::vector<std::string> choose_machines_to_drain();
 
  private:
@@ -49,7 +53,7 @@
   std::vector<Candidate> sorted_candidates();
   std::int64_t excess_cpus() const;
   double price_per_cpu(const cluster::Machine& machine) const;
-  bool reserve_room_for_replicas(Bin& source);
+  bool reserve_capacity_for_replicas(Bin& source);
   Bin* find_target(const protocol::JobSpec& service, const Bin& source);
 
   const cluster::ClusterState& cluster_state_;
--- a/tests/unit/autoscaler_test.cpp
+++ b/tests/unit/autoscaler_test.cpp
@@ -53,8 +53,8 @@
   ScalingContext context;
 };
 
-// The quick type is rented for all waiting replicas, although offers of which the fleet has many
-// machines count as dearer. Otherwise half of the replicas of a burst wait for slow boots.
+// The quick type is rented for all waiting replicas, despite the surcharge on offers of which the
+// fleet has many machines. Otherwise half of the replicas of a burst wait for slow boots.
 TEST_F(AutoscalerTwoTypesTest, RentsTheQuickTypeForWaitingReplicas) {
   context.service_reserve = 0;
   for (int i = 0; i < 40; ++i) add(cluster_state, replica("req-" + std::to_string(i)));
@@ -73,8 +73,8 @@
   EXPECT_EQ(rented(), (std::map<std::string, int>{{"slow", 1}}));
 }
 
-// A machine that never comes up is released only after four boot times. If it counted as capacity
-// until then, the tasks planned for it would wait.
+// A machine whose boot never finishes is released only after four boot times. If it counted as
+// capacity until then, the tasks planned for it would wait.
 TEST_F(AutoscalerTwoTypesTest, ReplacesOverdueBootsByAnotherType) {
   context.service_reserve = 0;
   for (int i = 0; i < 4; ++i) add(cluster_state, replica("req-" + std::to_string(i)));
@@ -90,8 +90,8 @@
 }
 
 // A draining machine whose replicas fit nowhere else never becomes empty. If nothing can be rented,
-// a job that needs the machine's room waits for ever unless the machine is uncordoned.
-TEST_F(AutoscalerOneTypeTest, UncordonsADrainingMachineForWorkThatCannotRentRoom) {
+// a job that needs the machine's capacity waits forever unless the machine is uncordoned.
+TEST_F(AutoscalerOneTypeTest, UncordonsADrainingMachineForTasksWithoutCapacityOrAnOffer) {
   add(cluster_state, spec("req-1", JobKind::array, 4, Priority::normal));
   Machine& draining = add(cluster_state, "a1", 16);
   draining.draining = true;
--- a/tests/unit/bin_packer_test.cpp
+++ b/tests/unit/bin_packer_test.cpp
@@ -1,4 +1,4 @@
-// Packing demand into the fleet's free room and into machines to be rented.
+// Packing demand into the fleet's free capacity and into machines to be rented.
 #include "planning/autoscaler/bin_packer.hpp"
 
 #include <gtest/gtest.h>
@@ -28,7 +28,7 @@
   OfferSelector selector{types, refused};
 };
 
-TEST_F(BinPackerTest, UsesExistingRoomFirst) {
+TEST_F(BinPackerTest, UsesFreeCapacityFirst) {
   add(cluster_state, "a1", 16);
   BinPacker packer = make_packer();
   const TaskDemand demand = demand_for(spec("req-1", JobKind::array, 8, Priority::normal));
@@ -38,7 +38,7 @@
   EXPECT_EQ(packer.bins()[0].room.cpus, 0);
 }
 
-TEST_F(BinPackerTest, CountsPendingRentalsAsRoom) {
+TEST_F(BinPackerTest, CountsPendingRentalsAsCapacity) {
   context.pending = {{{"t", "a", true}, 1}};
   BinPacker packer = make_packer();
   const TaskDemand demand = demand_for(spec("req-1", JobKind::array, 9, Priority::normal));
@@ -58,7 +58,7 @@
   EXPECT_EQ(packer.unplaced(), std::vector<const TaskDemand*>{&waiting});
 }
 
-TEST_F(BinPackerTest, RentsForAGangInTheZoneWithTheMostRoom) {
+TEST_F(BinPackerTest, RentsForAGangInTheZoneWithTheMostCapacity) {
   add(cluster_state, "b1", 16);
   JobSpec gang = spec("req-1", JobKind::gang, 12, Priority::normal);
   gang.one_zone = true;
@@ -68,7 +68,7 @@
   EXPECT_EQ(packer.missing_machines(), (std::map<Offer, int>{{{"t", "b", true}, 1}}));
 }
 
-TEST_F(BinPackerTest, AvoidsAGangZoneThatCanNotBeExtended) {
+TEST_F(BinPackerTest, AvoidsAZoneWithTooLittleCapacityWhereNothingCanBeRented) {
   add(cluster_state, "b1", 16);
   refused = {{"t", "b", true}, {"t", "b", false}};
   JobSpec gang = spec("req-1", JobKind::gang, 12, Priority::normal);
--- a/tests/unit/capacity_demand_test.cpp
+++ b/tests/unit/capacity_demand_test.cpp
@@ -1,4 +1,4 @@
-// The room that jobs need, the reserves, and the packing order.
+// The capacity that jobs need, the reserves, and the packing order.
 #include "planning/autoscaler/capacity_demand.hpp"
 
 #include <gtest/gtest.h>
@@ -44,7 +44,7 @@
   EXPECT_EQ(limited.cpus, 4000);
 }
 
-TEST_F(CapacityDemandTest, TasksOfAnArrayShareRoomInAsManyRoundsAsItsDeadlineAllows) {
+TEST_F(CapacityDemandTest, TasksOfAnArrayShareCapacityInAsManyRoundsAsItsDeadlineAllows) {
   JobSpec array = spec("a", JobKind::array, 8, Priority::normal);  // 20 s per task
   array.deadline = Seconds{40};
   add(cluster_state, array);
@@ -64,7 +64,7 @@
   EXPECT_TRUE(with_reserve.tasks[1].prefer_quick_start);
 }
 
-TEST_F(CapacityDemandTest, KeepsRoomForTheNextGangForALimitedTime) {
+TEST_F(CapacityDemandTest, KeepsCapacityForTheNextGangForALimitedTime) {
   storage::JobRecord record;
   record.spec = spec("a", JobKind::gang, 6, Priority::normal);
   record.accepted_at = wall_at(1000);
--- a/tests/unit/inventory_reconciler_test.cpp
+++ b/tests/unit/inventory_reconciler_test.cpp
@@ -13,7 +13,7 @@
  protected:
   InventoryReconcilerTest() {
     inventory.begin_term(caller.now());
-    // Afterwards no machine list can be older than the term.
+    // After this time, no machine list can be older than the term.
     queue.run_until(2 * settings.list_lag.count() + 2);
   }
   static std::string listed(const std::string& id, const std::string& state,
@@ -64,7 +64,7 @@
   EXPECT_FALSE(registry.find("n-2")->releasing);
 }
 
-TEST_F(InventoryReconcilerTest, ReadsPagesAfterEachOtherAndThenFromTheStart) {
+TEST_F(InventoryReconcilerTest, ReadsPagesInOrderAndThenStartsAgain) {
   fetch_page_with_response(page(listed("n-1", "running"), true));
   inventory.fetch_page_if_due();
   EXPECT_TRUE(cloud_http.calls.empty());
@@ -82,7 +82,7 @@
   EXPECT_EQ(cloud_http.calls.front().request.target, protocol::list_path(""));
 }
 
-TEST_F(InventoryReconcilerTest, RepeatsAPageThatCouldNotBeRead) {
+TEST_F(InventoryReconcilerTest, RepeatsThePageAfterAMalformedResponse) {
   inventory.fetch_page_if_due();
   cloud_http.answer(200, "{}");
   queue.run_until(queue.now() + constants::list_interval.count() + 0.1);
--- a/tests/unit/job_api_test.cpp
+++ b/tests/unit/job_api_test.cpp
@@ -37,7 +37,7 @@
             {"guess_s", 240.0},   {"mark_every_s", 30}, {"mark_cost_s", 4.0}, {"due_s", nullptr}};
   }
 
-  /// Returns the response, and sets `response_time` to the seconds until it was given.
+  /// Returns the response, and sets `response_time` to the seconds that it took.
   HttpResponse submit(const Json& body) {
     HttpResponse received;
     const double sent_at = queue.now();
--- a/tests/unit/scale_in_policy_test.cpp
+++ b/tests/unit/scale_in_policy_test.cpp
@@ -21,7 +21,7 @@
     std::vector<Bin> bins = measure_supply(cluster_state, context).bins;
     return ScaleInPolicy(cluster_state, context, bins).choose_machines_to_drain();
   }
-  // Starts a replica on a machine that holds its image.
+  // Starts a replica on a machine, which then caches its image.
   void place_replica(Machine& machine) {
     machine.mark_image_used("img", 1);
     cluster_state.place(machine, cluster_state.jobs.at("web"), 1, {});
@@ -43,7 +43,7 @@
   EXPECT_EQ(machines_to_drain(), Ids{"a1"});
 }
 
-TEST_F(ScaleInPolicyTest, DrainsTheDearestMachineFirst) {
+TEST_F(ScaleInPolicyTest, DrainsTheMachineWithTheHighestPriceFirst) {
   add(cluster_state, "a1", 16).spot = true;
   add(cluster_state, "a2", 16);
   EXPECT_EQ(machines_to_drain(), Ids{"a2"});
@@ -58,7 +58,7 @@
   EXPECT_EQ(machines_to_drain(), Ids{"a1"});
 }
 
-TEST_F(ScaleInPolicyTest, KeepsAMachineThatHasNotReported) {
+TEST_F(ScaleInPolicyTest, KeepsAMachineThatHasSentNoHeartbeat) {
   add(cluster_state, "a1", 16).has_reported = false;
   EXPECT_EQ(machines_to_drain(), Ids{});
 }
