--- a/tests/unit/cloud_client_test.cpp
+++ b/tests/unit/cloud_client_test.cpp
@@ -16,7 +16,7 @@
     std::optional<CloudResult<std::vector<std::string>>> result;
     cloud.request_rental("r-1", {"t", "a", true, 3},
                          [&](const auto& received) { result = received; });
-    cloud_http.answer(status, body);
+    cloud_http.respond(status, body);
     return result.value();
   }
 };
@@ -56,14 +56,14 @@
 }
 
 TEST_F(CloudClientTest, DropsAbandonedCalls) {
-  bool answered = false;
-  cloud.release({"n-1"}, [&](const CloudResult<void>&) { answered = true; });
+  bool responded = false;
+  cloud.release({"n-1"}, [&](const CloudResult<void>&) { responded = true; });
   cloud.abandon_calls();
-  cloud_http.answer(200, "{}");
-  EXPECT_FALSE(answered);
-  cloud.release({"n-1"}, [&](const CloudResult<void>& result) { answered = result.has_value(); });
-  cloud_http.answer(200, "{}");
-  EXPECT_TRUE(answered);
+  cloud_http.respond(200, "{}");
+  EXPECT_FALSE(responded);
+  cloud.release({"n-1"}, [&](const CloudResult<void>& result) { responded = result.has_value(); });
+  cloud_http.respond(200, "{}");
+  EXPECT_TRUE(responded);
 }
 
 }  // namespace
--- a/tests/unit/fleet_fixture.hpp
+++ b/tests/unit/fleet_fixture.hpp
@@ -1,5 +1,5 @@
 // Fixture for tests of the fleet components: a journal in the simulated state service, and a cloud
-// client whose calls the test answers.
+// client whose calls the test responds to.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -20,7 +20,7 @@
 
 namespace poppystile::coordination {
 
-// Keeps every call until the test answers it.
+// Keeps every call until the test responds to it.
 class ManualHttpCaller : public transport::HttpCaller {
  public:
   struct Call {
@@ -32,8 +32,8 @@
             std::function<void(transport::HttpResponse)> done) override {
     calls.push_back({std::move(request), std::move(done)});
   }
-  // Answers the oldest call.
-  void answer(int status, const std::string& body) {
+  // Responds to the oldest call.
+  void respond(int status, const std::string& body) {
     ASSERT_FALSE(calls.empty());
     const Call call = std::move(calls.front());
     calls.pop_front();
--- a/tests/unit/inventory_reconciler_test.cpp
+++ b/tests/unit/inventory_reconciler_test.cpp
@@ -26,7 +26,7 @@
   }
   void fetch_page_with_response(const std::string& body) {
     inventory.fetch_page_if_due();
-    cloud_http.answer(200, body);
+    cloud_http.respond(200, body);
   }
 
   MachineReleaser releaser{caller, cloud, registry, [](auto&, auto&) {}};
@@ -72,7 +72,7 @@
   inventory.fetch_page_if_due();
   ASSERT_EQ(cloud_http.calls.size(), 1u);
   EXPECT_EQ(cloud_http.calls.front().request.target, protocol::list_path("n-1"));
-  cloud_http.answer(200, page(listed("n-2", "running")));
+  cloud_http.respond(200, page(listed("n-2", "running")));
   queue.run_until(queue.now() + 4.9);
   inventory.fetch_page_if_due();
   EXPECT_TRUE(cloud_http.calls.empty());
@@ -84,7 +84,7 @@
 
 TEST_F(InventoryReconcilerTest, RepeatsThePageAfterAMalformedResponse) {
   inventory.fetch_page_if_due();
-  cloud_http.answer(200, "{}");
+  cloud_http.respond(200, "{}");
   queue.run_until(queue.now() + constants::list_interval.count() + 0.1);
   inventory.fetch_page_if_due();
   EXPECT_EQ(cloud_http.calls.size(), 1u);
--- a/tests/unit/machine_catalog_test.cpp
+++ b/tests/unit/machine_catalog_test.cpp
@@ -46,7 +46,7 @@
   updater.refresh_if_due();
   updater.refresh_if_due();
   ASSERT_EQ(cloud_http.calls.size(), 1u);
-  cloud_http.answer(200, catalog_body(1));
+  cloud_http.respond(200, catalog_body(1));
   EXPECT_NE(catalog.find("x"), nullptr);
   updater.refresh_if_due();
   EXPECT_TRUE(cloud_http.calls.empty());
@@ -58,13 +58,13 @@
 TEST_F(CatalogUpdaterTest, RecordsTheCatalogOnlyOnce) {
   become_leader();
   updater.refresh_if_due();
-  cloud_http.answer(200, catalog_body(1));
+  cloud_http.respond(200, catalog_body(1));
   run_for(1);
   const std::uint64_t version = shared_state.catalog_version();
   EXPECT_NE(version, 0u);
   run_for(constants::catalog_refresh_interval.count() + 1);
   updater.refresh_if_due();
-  cloud_http.answer(200, catalog_body(2));
+  cloud_http.respond(200, catalog_body(2));
   run_for(1);
   EXPECT_EQ(shared_state.catalog_version(), version);
   EXPECT_EQ(shared_state.types().at(0).price, 1);
@@ -73,7 +73,7 @@
 
 TEST_F(CatalogUpdaterTest, KeepsThePreviousCatalogWhenAResponseIsMalformed) {
   updater.refresh_if_due();
-  cloud_http.answer(200, "{}");
+  cloud_http.respond(200, "{}");
   EXPECT_NE(catalog.find("t"), nullptr);
   updater.refresh_if_due();
   EXPECT_EQ(cloud_http.calls.size(), 1u);
--- a/tests/unit/scale_in_test.cpp
+++ b/tests/unit/scale_in_test.cpp
@@ -36,7 +36,7 @@
   EXPECT_TRUE(registry.find("n-1")->releasing);
   releaser.send_batch_if_due();
   EXPECT_FALSE(registry.is_released("n-1"));
-  cloud_http.answer(200, "{}");
+  cloud_http.respond(200, "{}");
   EXPECT_TRUE(registry.is_released("n-1"));
   EXPECT_EQ(removed, std::vector<std::string>{"n-1"});
   releaser.send_batch_if_due();
@@ -46,7 +46,7 @@
 TEST_F(MachineReleaserTest, RepeatsAnUnconfirmedBatchAfterAPause) {
   releaser.schedule(add_machine("n-1"));
   releaser.send_batch_if_due();
-  cloud_http.answer(0, "");
+  cloud_http.respond(0, "");
   releaser.send_batch_if_due();
   EXPECT_TRUE(cloud_http.calls.empty());
   queue.run_until(queue.now() + constants::release_retry_pause.count() + 0.1);
@@ -61,10 +61,10 @@
   releaser.send_batch_if_due();
   releaser.send_batch_if_due();
   ASSERT_EQ(cloud_http.calls.size(), 1u);
-  cloud_http.answer(200, "{}");
+  cloud_http.respond(200, "{}");
   EXPECT_EQ(removed.size(), constants::max_machines_per_release);
   releaser.send_batch_if_due();
-  cloud_http.answer(200, "{}");
+  cloud_http.respond(200, "{}");
   EXPECT_EQ(removed.size(), constants::max_machines_per_release + 1);
 }
 
--- a/tests/unit/scale_out_test.cpp
+++ b/tests/unit/scale_out_test.cpp
@@ -88,7 +88,7 @@
 TEST_F(ScaleOutTest, AdmitsGrantedMachinesAndSettlesTheRental) {
   become_leader();
   request(2);
-  cloud_http.answer(200, R"({"stiles":["n-1","n-2"]})");
+  cloud_http.respond(200, R"({"stiles":["n-1","n-2"]})");
   ASSERT_NE(registry.find("n-1"), nullptr);
   EXPECT_TRUE(registry.find("n-2")->spot);
   EXPECT_EQ(registry.find("n-2")->size.cpus, 16000);
@@ -99,7 +99,7 @@
 TEST_F(ScaleOutTest, PausesAnOfferThatIsGrantedInPart) {
   become_leader();
   request(2);
-  cloud_http.answer(200, R"({"stiles":["n-1"]})");
+  cloud_http.respond(200, R"({"stiles":["n-1"]})");
   EXPECT_NE(registry.find("n-1"), nullptr);
   EXPECT_TRUE(rental_log.rentals().empty());
   EXPECT_EQ(scale_out.refused_offers(), std::set<Offer>{offer});
@@ -108,7 +108,7 @@
 TEST_F(ScaleOutTest, ARefusalSettlesTheRentalAndPausesTheOffer) {
   become_leader();
   request(2);
-  cloud_http.answer(503, R"({"error":"no capacity"})");
+  cloud_http.respond(503, R"({"error":"no capacity"})");
   EXPECT_TRUE(rental_log.rentals().empty());
   EXPECT_EQ(scale_out.refused_offers(), std::set<Offer>{offer});
 }
@@ -117,7 +117,7 @@
   become_leader();
   request(2);
   const std::string body = cloud_http.calls.front().request.body;
-  cloud_http.answer(0, "");
+  cloud_http.respond(0, "");
   scale_out.request_due_rentals();
   EXPECT_TRUE(cloud_http.calls.empty());
   run_for(constants::rental_retry_pause.count() + 0.1);
@@ -130,7 +130,7 @@
   become_leader();
   request(2);
   scale_out.record_rentals({{offer, 1}, {{"t", "a", false}, 1}}, 1);
-  cloud_http.answer(503, R"({"error":"no capacity"})");
+  cloud_http.respond(503, R"({"error":"no capacity"})");
   ASSERT_EQ(scale_out.pending_orders().size(), 2u);
   scale_out.withdraw_refused_rentals();
   ASSERT_EQ(scale_out.pending_orders().size(), 1u);
