--- a/src/coordination/api/admission_check.hpp
+++ b/src/coordination/api/admission_check.hpp
@@ -37,7 +37,7 @@
   explicit AdmissionCheck(const protocol::Settings& settings) : settings_(settings) {}
 
   /// Returns the job in the form in which it is stored, or the first reason found to reject it.
-  /// Doesn't check the size of the job's record, so it never returns `record_too_large`.
+  /// Does not check the size of the job's record, so it never returns `record_too_large`.
   tl::expected<AdmittedJob, RejectionReason> check(
       protocol::JobSpec job, const std::vector<protocol::MachineType>& machine_types) const;
 
--- a/src/coordination/api/consistent_reader.hpp
+++ b/src/coordination/api/consistent_reader.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Reads jobs from this controller's cache after confirming with the state service that it is
-/// current.
+/// Reads jobs from this controller's cache if the state service confirms that it is current, and
+/// from the state service otherwise.
 #pragma once
 
 #include <cstdint>
--- a/src/coordination/api/job_api.hpp
+++ b/src/coordination/api/job_api.hpp
@@ -25,9 +25,11 @@
 
 /// Handles submissions, status polls and cancellations.
 ///
-/// Each call responds exactly once. Apart from the task counts, a response contains only what the
-/// state service has confirmed. While the state service is not reachable, or too many calls to it
-/// are queued, the response is 503 with Retry-After.
+/// Each call responds exactly once. Except for the task counts, and whether a job is queued or
+/// running, a response contains only what the state service has confirmed. The response is 503 with
+/// Retry-After while the state service is not reachable, too many calls to it are queued, or it
+/// throttles a change for longer than `constants::submission_retry_window`. A submission or
+/// cancellation with a 503 may have been stored; users can safely repeat it.
 class JobApi {
  public:
   /// All references must outlive this object. `counts` returns the task counts of the job with the
--- a/src/planning/autoscaler/capacity_demand.cpp
+++ b/src/planning/autoscaler/capacity_demand.cpp
@@ -89,7 +89,8 @@
   }
 
   // Adds capacity for future replicas: for each class of services, the share `service_reserve` of
-  // its replicas, each with the size of the class's last job in packing order. While replicas wait,
+  // its replicas, each with the size and constraints of the class's last job in packing order,
+  // except its zone. While replicas wait,
   // the next ones use the reserve as soon as it is available, so its start delay counts besides its
   // price.
   void add_service_reserves(const std::vector<const Job*>& jobs) {
--- a/src/planning/autoscaler/scale_in_policy.hpp
+++ b/src/planning/autoscaler/scale_in_policy.hpp
@@ -13,10 +13,10 @@
 
 namespace poppystile::planning {
 
-/// Returns the ids of draining machines that shall accept tasks again. Of the draining machines
-/// that count as capacity, these are all if `machines_are_missing` (machines would have to be
-/// rented); otherwise those with free capacity for a task of an unplaced demand: a machine whose
-/// replicas fit nowhere else would drain forever while that demand waits.
+/// Returns the ids of draining machines that shall accept tasks again, among those that count as
+/// capacity. If `machines_are_missing`, so that machines would have to be rented, it returns all of
+/// them. Otherwise it returns those with free capacity for a task of an unplaced demand, because a
+/// machine whose replicas fit nowhere else would drain forever while that demand waits.
 std::vector<std::string> choose_machines_to_uncordon(
     const cluster::ClusterState& cluster_state, WallTime now, bool machines_are_missing,
     const std::vector<const TaskDemand*>& unplaced);
