--- a/src/coordination/leader/failover_recovery.cpp
+++ b/src/coordination/leader/failover_recovery.cpp
@@ -59,7 +59,7 @@
 
 // A former leader stops responding to workers early enough that the worker leases it kept alive
 // expire within `cancel_timeout` of its last renewal of the leader lease
-// (Controller::may_respond_until). No controller renews worker leases now, so no task runs after
+// (Controller::response_deadline). No controller renews worker leases now, so no task runs after
 // that time.
 void FailoverRecovery::wait_for_lease_expiry() {
   spdlog::error("journal unreadable, waiting for all worker leases to expire seconds={}",
--- a/src/coordination/leader/lease_monitor.cpp
+++ b/src/coordination/leader/lease_monitor.cpp
@@ -32,7 +32,7 @@
 
 // A deposed leader stops renewing worker leases early enough that each expires within
 // `cancel_timeout` of that leader's last renewal of the leader lease
-// (Controller::may_respond_until). That renewal preceded this controller's election.
+// (Controller::response_deadline). That renewal preceded this controller's election.
 void LeaseMonitor::evict_if_former_leases_expired(Machine& machine) {
   const SteadyTime former_leases_expire_at =
       election_.elected_at() + with_clock_drift(settings_.cancel_timeout);
--- a/src/protocol/peer_messages.hpp
+++ b/src/protocol/peer_messages.hpp
@@ -35,7 +35,7 @@
   /// Jobs that the sender knows to be cancelled and not to be final, or as many as fit.
   std::vector<std::string> cancelled;
   /// Whether `cancelled` is complete. If not, the frame confirms nothing about cancellations.
-  bool all_cancelled = true;
+  bool cancelled_is_complete = true;
 };
 
 std::string encode_peer_status(const PeerStatus& status);
--- a/src/protocol/properties.hpp
+++ b/src/protocol/properties.hpp
@@ -10,9 +10,9 @@
 
 /// What operators may change; unless they do, the values of constants.hpp.
 struct Properties {
-  Seconds idle_keep;           ///< fleet.idle-keep-s
-  double service_reserve;      ///< fleet.service-reserve
-  double remote_offset_units;  ///< planner.remote-offset-units
+  Seconds idle_capacity_retention;  ///< fleet.idle-keep-s
+  double service_reserve;           ///< fleet.service-reserve
+  double remote_offset_units;       ///< planner.remote-offset-units
   Properties();
 };
 
--- a/src/protocol/settings.cpp
+++ b/src/protocol/settings.cpp
@@ -159,7 +159,8 @@
   for (const Json& each : need_list(given, objectives_field)) {
     if (!each.is_object()) throw DecodeError::expected(objectives_field, "objects");
     if (need_text(each, "kind") != "finished") continue;
-    out.finish_aims.push_back({need_text(each, "class"), need_positive_seconds(each, "within_s")});
+    out.finish_objectives.push_back(
+        {need_text(each, "class"), need_positive_seconds(each, "within_s")});
   }
 }
 
--- a/src/protocol/settings.hpp
+++ b/src/protocol/settings.hpp
@@ -29,7 +29,7 @@
 };
 
 /// A users' aim: jobs of the class finish within this time.
-struct FinishAim {
+struct FinishObjective {
   std::string job_class;
   Seconds within{0};
 };
@@ -54,7 +54,7 @@
   transport::Endpoint state;
   std::vector<std::string> zones;
   std::vector<TeamSettings> teams;
-  std::vector<FinishAim> finish_aims;
+  std::vector<FinishObjective> finish_objectives;
   Seconds heartbeat_interval{1};
   Seconds worker_lease{10};
   Seconds cancel_timeout{30};
--- a/src/protocol/submission.hpp
+++ b/src/protocol/submission.hpp
@@ -25,7 +25,7 @@
   JobKind kind = JobKind::array;
   Priority priority = Priority::normal;
   std::uint32_t tasks = 0;
-  Resources each;                                 ///< Of one task.
+  Resources task_resources;                       ///< Of one task.
   std::optional<std::vector<std::string>> types;  ///< Allowed machine types; nothing: all.
   std::optional<std::string> zone;                ///< The only allowed zone; nothing: all.
   bool one_zone = false;                          ///< All tasks in the same zone.
--- a/src/transport/peer_connections.hpp
+++ b/src/transport/peer_connections.hpp
@@ -19,7 +19,7 @@
   virtual ~PeerTransport() = default;
   virtual void broadcast(const std::string& frame) = 0;
   /// Sets what runs for each frame received; frames received before are dropped.
-  virtual void on_frame(std::function<void(const std::string&)> handler) = 0;
+  virtual void set_frame_handler(std::function<void(const std::string&)> handler) = 0;
 };
 
 /// Peers over TCP: each controller connects to every other and sends its own frames there; on the
@@ -34,7 +34,7 @@
 
   /// Drops the frame for peers to which there is no connection, and connects to them.
   void broadcast(const std::string& frame) override;
-  void on_frame(std::function<void(const std::string&)> handler) override;
+  void set_frame_handler(std::function<void(const std::string&)> handler) override;
 
  private:
   class Outgoing;
