--- a/src/coordination/api/consistent_reader.hpp
+++ b/src/coordination/api/consistent_reader.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// Reads jobs with confirmation by the state service instead of from this controller's cache alone.
+/// Reads jobs from this controller's cache if the state service confirms that it is current, and
+/// from the state service otherwise.
 #pragma once
 
 #include <cstdint>
