--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -59,8 +59,8 @@
 }
 
 void set_up_logging() {
-  // Of equal consecutive lines, such as those about malformed heartbeats, only the first is
-  // written; the others are counted.
+  // Of equal consecutive lines within this time, such as those about malformed heartbeats, only the
+  // first is written; the others are counted.
   auto filter = std::make_shared<spdlog::sinks::dup_filter_sink_st>(constants::log_repeat_window);
   filter->add_sink(std::make_shared<spdlog::sinks::stderr_sink_st>());
   spdlog::set_default_logger(std::make_shared<spdlog::logger>("poppystile", filter));
--- a/src/protocol/cbor_array.cpp
+++ b/src/protocol/cbor_array.cpp
@@ -13,8 +13,8 @@
   bool plausible = true;
 };
 
-/// Whether every item of the frame is well-formed, none is a map, and no array declares more items
-/// than the frame has bytes. Allocates no items.
+/// Whether every item of the frame is well-formed, none is a map of definite size, and no array of
+/// definite size declares more items than the frame has bytes. Allocates no items.
 bool has_plausible_sizes(const std::string& frame) {
   DeclaredSizes declared{frame.size()};
   cbor_callbacks callbacks = cbor_empty_callbacks;
--- a/src/protocol/cbor_array.hpp
+++ b/src/protocol/cbor_array.hpp
@@ -68,7 +68,8 @@
   bool ok_ = false;
 };
 
-/// Decodes the CBOR item in `frame`; returns nullptr if the frame is malformed or contains a map.
+/// Decodes the CBOR item in `frame`; returns nullptr if the frame is malformed or contains a map of
+/// definite size.
 ///
 /// libcbor allocates memory for the number of items that an array's head declares before it reads
 /// them, so one damaged frame could cost gigabytes and many seconds. Frames with an array that
--- a/src/protocol/cloud_messages.hpp
+++ b/src/protocol/cloud_messages.hpp
@@ -29,7 +29,7 @@
 /// A rented machine as the cloud lists it.
 struct ListedMachine {
   std::string id;
-  std::string address;
+  std::string address;  ///< Always empty: `parse_machine_list` does not read it.
   std::string type;
   std::string zone;
   bool spot = false;
--- a/src/protocol/peer_messages.hpp
+++ b/src/protocol/peer_messages.hpp
@@ -37,7 +37,7 @@
   /// most as many as fit into a frame.
   std::vector<std::string> cancelled;
   /// Whether `cancelled` is complete. If it is not, a job that is absent from it may be cancelled
-  /// all the same.
+  /// all the same, so the status confirms nothing about cancellations.
   bool all_cancelled = true;
 };
 
--- a/src/protocol/properties.hpp
+++ b/src/protocol/properties.hpp
@@ -8,7 +8,8 @@
 
 namespace poppystile::protocol {
 
-/// The parameters that operators can override; the defaults are in constants.hpp.
+/// The parameters that operators can override. The constants of the same names in constants.hpp
+/// explain them and are their defaults.
 struct Properties {
   Seconds idle_keep;           ///< Key fleet.idle-keep-s.
   double service_reserve;      ///< Key fleet.service-reserve.
--- a/src/protocol/settings.hpp
+++ b/src/protocol/settings.hpp
@@ -62,10 +62,10 @@
   Seconds cancel_timeout{30};
   std::optional<GangTimes> gang_times;  ///< nullopt: gangs are not supported.
   StateLimits state_limits;             ///< The lower of the current and the announced limits.
-  double cloud_rps = 1;
-  Seconds list_lag{5};
-  double sockets = 256;
-  Seconds max_clock_offset{0.1};
+  double cloud_rps = 1;                 ///< Requests per second that the cloud accepts.
+  Seconds list_lag{5};                  ///< Typical age of the cloud's machine lists.
+  double sockets = 256;                 ///< Number of sockets that the process may use.
+  Seconds max_clock_offset{0.1};        ///< Bound on the offset between two controllers' clocks.
 };
 
 /// Parses and validates the JSON text of a settings file. Throws DecodeError that names the field
--- a/src/protocol/state_messages.hpp
+++ b/src/protocol/state_messages.hpp
@@ -60,10 +60,12 @@
 
 inline constexpr const char* transaction_path = "/multi";
 inline constexpr const char* leases_path = "/grants";
+/// The path of the entry with this key.
 std::string key_path(const std::string& key);
 /// The path of a page with at most `limit` entries below `prefix`, starting after the key `after`,
 /// or with the first entry if `after` is empty.
 std::string list_keys_path(const std::string& prefix, const std::string& after, int limit);
+/// The path of a request that renews the lease.
 std::string renew_path(std::uint64_t lease);
 /// The path of a watch request for changes below `prefix` after the revision `after`. If there is
 /// none, the service waits up to `wait_ms` milliseconds for one.
--- a/src/protocol/submission.hpp
+++ b/src/protocol/submission.hpp
@@ -30,7 +30,7 @@
   std::optional<std::vector<std::string>> types;  ///< Allowed machine types; nullopt: all.
   std::optional<std::string> zone;                ///< The only allowed zone; nullopt: all.
   bool one_zone = false;                          ///< All tasks must run in the same zone.
-  bool spread = false;                            ///< Tasks must run on different machines.
+  bool spread = false;                            ///< At most half the tasks per zone, rounded up.
   bool spot = false;                              ///< Tasks may run on spot machines.
   std::string image;
   double image_gb = 0;
@@ -41,7 +41,7 @@
 };
 
 /// Whether the id has the form of a job id: "req-" and decimal digits, at most
-/// `constants::max_id_bytes` bytes in all.
+/// `constants::max_job_id_bytes` bytes in all.
 bool valid_job_id(const std::string& id);
 
 /// Throws DecodeError for the first field that is missing or invalid.
--- a/src/protocol/worker_messages.hpp
+++ b/src/protocol/worker_messages.hpp
@@ -26,9 +26,9 @@
   done,
   stopped,
   error,
-  no_room,
-  busy,
-  unknown,
+  no_room,         ///< The machine lacked the resources for the task.
+  busy,            ///< Another attempt of the task had not exited on the machine.
+  unknown,         ///< The job is unknown to the worker.
   peer_lost,       ///< Another task of the gang was lost.
   gang_incomplete  ///< The gang was not complete before its assembly timeout.
 };
@@ -62,6 +62,7 @@
 
 /// A command to a worker about one attempt of a task.
 struct Command {
+  /// `forget` removes an exited attempt from the worker's heartbeats.
   enum class Op : std::uint8_t { start, stop, forget };
 
   Op op = Op::start;
--- a/src/transport/http_client.hpp
+++ b/src/transport/http_client.hpp
@@ -33,7 +33,8 @@
   void dispatch_waiting(Pool& pool);
   /// An idle connection, or a new one; nullptr when the limit is reached.
   std::shared_ptr<Connection> free_connection(Pool& pool);
-  /// Removes the connection from its pool and assigns the calls that still wait.
+  /// Removes the connection from its pool, and assigns the calls that still wait in a later
+  /// iteration of the event loop.
   void on_closed(Pool& pool, const Connection* connection);
 
   EventLoop& loop_;
--- a/src/transport/http_server.hpp
+++ b/src/transport/http_server.hpp
@@ -18,9 +18,10 @@
 
 /// Serves HTTP on a limited number of connections.
 ///
-/// Over the limit, the server closes the connection with the oldest last request, among those that
-/// have carried no priority request. A request with a body over `constants::max_request_body_bytes`
-/// gets status 400.
+/// Over the limit, the server closes the least recently used connection (by its last request, or by
+/// its opening if there was none) among those that have carried no priority request. It also closes
+/// a connection that has sent nothing for `constants::server_idle_timeout`. A request with a body
+/// over `constants::max_request_body_bytes` gets status 400.
 class HttpServer {
  public:
   /// Starts to listen; throws std::runtime_error if that fails. A connection that has carried a
--- a/src/transport/tcp_stream.hpp
+++ b/src/transport/tcp_stream.hpp
@@ -17,7 +17,7 @@
 class TcpListener {
  public:
   /// Starts to listen; throws std::runtime_error, with `purpose` in its text, if that fails.
-  /// `on_connection` runs for each pending connection and is to accept it.
+  /// `on_connection` runs for each pending connection and must accept it.
   TcpListener(EventLoop& loop, const Endpoint& listen, int backlog, const std::string& purpose,
               std::function<void()> on_connection);
 
--- a/tests/simulation/controller_cluster.hpp
+++ b/tests/simulation/controller_cluster.hpp
@@ -32,7 +32,7 @@
   /// `selector` is `any`, `leader`, `follower` or a controller's number. Returns a random
   /// controller for `any`, and if there is no leader or no follower.
   ControllerProcess& select(const std::string& selector) const;
-  /// Whether some controller is leader under a leadership token higher than `token`.
+  /// Whether some controller is leader under a fencing token higher than `token`.
   bool has_leader_above(std::uint64_t token) const;
   /// Number of release requests sent by controllers that had already been replaced as leader.
   std::uint64_t stale_releases() const;
--- a/tests/simulation/controller_process.cpp
+++ b/tests/simulation/controller_process.cpp
@@ -18,7 +18,7 @@
 constexpr double max_wall_offset_s = 0.1;                  // the bound in PROTOCOL
 constexpr SteadyTime steady_start{Seconds{1000}};          // arbitrary
 constexpr WallTime wall_start{Seconds{1.7e9}};             // arbitrary
-constexpr Seconds timer_granularity{0.0005};               // delay of every timer
+constexpr Seconds timer_granularity{0.0005};               // added to the delay of every timer
 constexpr Seconds rejection_delay{0.003};                  // from the call to its 503
 constexpr Seconds min_latency{0.001}, max_latency{0.004};  // one way
 constexpr double slow_packet_share = 0.01;
--- a/tests/simulation/controller_process.hpp
+++ b/tests/simulation/controller_process.hpp
@@ -43,8 +43,9 @@
 
   /// Starts a new controller, which has no state yet. None may be running.
   void start();
-  /// Destroys the controller and drops its timers and the messages that wait for it, and starts a
-  /// new one after `restart_after`. Does nothing if the controller is not running.
+  /// Destroys the controller, drops its timers and the messages that wait for the end of a pause,
+  /// and starts a new controller after `restart_after`. Messages held by a partition are kept. Does
+  /// nothing if the controller is not running.
   void crash(Seconds restart_after);
   /// Pauses the process for `duration`. Its clocks advance, but timers and messages wait until it
   /// resumes. Does nothing if the process is paused or not running.
--- a/tests/simulation/gangs.hpp
+++ b/tests/simulation/gangs.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Simulates how the tasks of a gang wait for one another, run, stop and end together. It follows
-/// the users' table of worker behaviour and covers all machines of a simulation.
+/// Simulates how the tasks of a gang wait for one another, run, stop and end together, as the users
+/// specify it for workers. One object covers all machines of a simulation.
 #pragma once
 
 #include <cstdint>
@@ -46,17 +46,18 @@
   /// Called when a task has left its machine, for any reason. Fails a started attempt that has not
   /// ended.
   void leave(const std::string& job, std::uint64_t attempt, std::uint32_t index);
-  /// Stops a task within `grace`. Progress is saved if `grace` is long enough for a save and all
-  /// tasks of the attempt are stopped within the peer timeout; otherwise only the progress up to
-  /// the last periodic checkpoint is kept, if the job has checkpoints.
+  /// Stops a task within `grace`. If the job has checkpoints, the attempt's whole progress is saved
+  /// when `grace` is long enough for a save and all of its tasks are stopped within the peer
+  /// timeout of the first one; otherwise only its progress up to the last periodic checkpoint is
+  /// kept.
   void stop(const std::string& job, std::uint64_t attempt, std::uint32_t index, Seconds grace);
 
   /// Number of attempts in which all tasks joined.
   std::uint64_t started() const { return started_; }
   /// Number of attempts that were stopped with their progress saved.
   std::uint64_t saved() const { return saved_; }
-  /// Number of started attempts that failed because a task was lost, its machine hung, or not all
-  /// tasks were stopped in time.
+  /// Number of started attempts that failed because a task left its machine, its machine hung, or
+  /// not all tasks were stopped in time.
   std::uint64_t failed() const { return failed_; }
   /// Number of tasks that exited since their gang was still incomplete after the start timeout.
   std::uint64_t incomplete() const { return incomplete_; }
--- a/tests/simulation/invariant_checker.hpp
+++ b/tests/simulation/invariant_checker.hpp
@@ -28,7 +28,9 @@
 enum class Invariant {
   /// A task is on at most one machine at a time.
   at_most_one_copy,
-  /// A task is only on a machine whose zone, type and spot property the job allows.
+  /// A task is only on a machine whose zone, type and spot property the job allows. All tasks of a
+  /// job with `one_zone` are in one zone; one zone has at most half, rounded up, of the tasks of a
+  /// job with `spread`.
   placement_constraints,
   /// No team uses more CPUs than its quota.
   team_quota,
--- a/tests/simulation/simulation_settings.hpp
+++ b/tests/simulation/simulation_settings.hpp
@@ -23,7 +23,8 @@
   double state_rps = 250;
   double state_write_rps = 40;
   int txn_ops = 32;
-  /// The limits under `state.next` in the controllers' settings, from the start of the simulation.
+  /// The limits under `state.next` in the controllers' settings. Controllers keep to them from the
+  /// start of the simulation; the state service enforces them from the action `lower_limits` on.
   std::optional<protocol::StateLimits> next_limits;
   /// Lag of the cloud's machine lists. A list is between half and twice this old.
   Seconds list_lag{3};
--- a/tests/simulation/state_service.hpp
+++ b/tests/simulation/state_service.hpp
@@ -32,8 +32,9 @@
   /// Handles one request. Calls `respond` before it returns; for a watch, when a key has changed or
   /// the watch's timeout has passed, which may be later.
   void handle(const transport::HttpRequest& request, const OnResponse& respond);
-  /// While the service is down, it responds to every request with 503. When it is up again, every
-  /// lease gets its full time to live.
+  /// While the service is down, it responds to every request with 503, and no lease expires. A
+  /// watch whose timeout passes meanwhile gets its response when a key changes. When the service is
+  /// up again, every lease gets its full time to live.
   void set_down(bool down);
   /// Sets the limits for later requests. Stored values are kept even if they exceed the limits.
   void set_limits(double write_rps, int txn_ops, double value_kb);
--- a/tests/simulation/worker.cpp
+++ b/tests/simulation/worker.cpp
@@ -12,8 +12,11 @@
 constexpr double min_heartbeat_gap_s = 0.5;  // PROTOCOL: between heartbeats on change
 constexpr Seconds lease_check_interval{0.1};
 constexpr Seconds wake_up_delay{0.01};
+// From a redirect to the heartbeat to the new controller.
 constexpr Seconds max_redirect_delay{0.5};
+// Multiples of the heartbeat interval.
 constexpr double min_interval_factor = 0.75, max_interval_factor = 1.25;
+// Multiple of the worker lease: time after a fault during which it still explains an expired lease.
 constexpr double leases_explained_after_fault = 2;
 }  // namespace
 
