--- a/src/transport/http_client.cpp
+++ b/src/transport/http_client.cpp
@@ -81,11 +81,11 @@
     if (std::exchange(closing_, true)) return;
     const auto self = shared_from_this();  // the pool may hold the only other reference
     stream_.close();
-    auto unanswered = std::exchange(current_, nullptr);
+    auto pending_exchange = std::exchange(current_, nullptr);
     client_.on_closed(pool_, this);
-    if (unanswered) {
-      unanswered->connection = nullptr;
-      unanswered->settle({});
+    if (pending_exchange) {
+      pending_exchange->connection = nullptr;
+      pending_exchange->settle({});
     }
   }
 
--- a/tests/simulation/invariant_checker.cpp
+++ b/tests/simulation/invariant_checker.cpp
@@ -4,9 +4,9 @@
 
 namespace {
 // Durations are in seconds.
-constexpr double check_tolerance_s = 0.5;  // the check runs every 0.5 s
-constexpr double max_unanswered_s = 75;    // PROTOCOL; counted from the end of the last fault
-constexpr double max_waiting_s = 90;       // PROTOCOL; counted from the end of the last fault
+constexpr double check_tolerance_s = 0.5;    // the check runs every 0.5 s
+constexpr double max_response_delay_s = 75;  // PROTOCOL; counted from the end of the last fault
+constexpr double max_waiting_s = 90;         // PROTOCOL; counted from the end of the last fault
 // Fetching an image may take this long, so that a task may still start this long after its command.
 constexpr double late_start_s = 20;
 constexpr double largest_start_s = 240;  // PROTOCOL: time within which the largest jobs start
@@ -164,7 +164,7 @@
   if (status != 200 && status != 201) return;
   if (!jobs_.contains(job)) return record_violation(Invariant::only_submitted_jobs, job);
   accepted_.insert(job);
-  last_answered_at_[job] = queue_.now();
+  last_response_at_[job] = queue_.now();
   if (state == "done" && completed_[job].size() < jobs_.at(job).tasks)
     record_violation(Invariant::done_means_completed, job);
   if (done_.contains(job) && state != "done")
@@ -219,7 +219,7 @@
 }
 
 void InvariantChecker::check_final_service() {
-  check_queries_answered();
+  check_queries_got_responses();
   std::map<std::string, std::vector<std::string>> groups;
   for (const auto& [job, spec] : jobs_) {
     if (cancelled_at_.contains(job) || queue_.now() - submitted_at_[job] < largest_start_s)
@@ -233,11 +233,11 @@
   }
 }
 
-void InvariantChecker::check_queries_answered() {
+void InvariantChecker::check_queries_got_responses() {
   for (const auto& job : accepted_) {
     // A job without a query since its last response is not checked.
-    const double since = std::max(last_answered_at_[job], faults_until_);
-    if (last_queried_at_[job] > since && queue_.now() - since > max_unanswered_s)
+    const double since = std::max(last_response_at_[job], faults_until_);
+    if (last_queried_at_[job] > since && queue_.now() - since > max_response_delay_s)
       record_violation(Invariant::accepted_job_durable, job + " got no response to its last query");
   }
 }
--- a/tests/simulation/invariant_checker.hpp
+++ b/tests/simulation/invariant_checker.hpp
@@ -142,7 +142,7 @@
   void check_zones(const protocol::JobSpec& spec, std::uint32_t index, const HostMachine& host);
   void check_start_of_cancelled(const std::string& job, const std::string& task_on_machine);
   bool has_task_on_machine(const std::string& job) const;
-  void check_queries_answered();
+  void check_queries_got_responses();
   void check_group_served(const std::string& name, const std::vector<std::string>& jobs);
   void check_largest_served(const std::string& name, std::vector<std::string> jobs);
 
@@ -160,7 +160,7 @@
   std::map<std::string, double> submitted_at_;
   std::map<std::string, double> first_started_at_;
   std::map<std::string, double> cancelled_at_;  // when the user got the confirmation
-  std::map<std::string, double> last_answered_at_;
+  std::map<std::string, double> last_response_at_;
   std::map<std::string, double> last_queried_at_;  // time of the newest query
   std::map<std::string, double> waiting_since_;    // while a machine has room
   std::function<void(const std::string&)> on_job_completed_;
--- a/tests/simulation/simulation.cpp
+++ b/tests/simulation/simulation.cpp
@@ -67,7 +67,7 @@
   for (const auto& job : invariants_.accepted()) {
     const bool waits = invariants_.is_waiting_within_quota(job);
     invariants_.check_waiting_job(
-        job, waits ? fleet_.machine_with_room_for(*invariants_.find_job(job)) : "");
+        job, waits ? fleet_.machine_with_capacity_for(*invariants_.find_job(job)) : "");
   }
 }
 
--- a/tests/simulation/state_service.cpp
+++ b/tests/simulation/state_service.cpp
@@ -46,7 +46,7 @@
   down_ = down;
   if (down) return;
   for (auto& [id, lease] : leases_) schedule_expiry(id);
-  answer_watches();
+  respond_to_watches();
 }
 
 void StateService::set_limits(double write_rps, int txn_ops, double value_kb) {
@@ -127,7 +127,7 @@
       put(each.at("write").get<std::string>(), each.at("data"), each.value("pass", 0));
     }
   }
-  answer_watches();
+  respond_to_watches();
   respond({200, Json{{"epoch", revision_}}.dump()});
 }
 
@@ -158,16 +158,16 @@
   opened->prefix = query.at("prefix");
   opened->after_revision = std::stoull(query.at("from"));
   opened->respond = respond;
-  if (answer_watch(*opened, false)) return;
+  if (respond_to_watch(*opened, false)) return;
   watches_.push_back(opened);
   const Seconds timeout{std::stod(query.at("hold_ms")) / 1000};
   queue_.after(timeout, [this, opened] {
-    if (!down_) answer_watch(*opened, true);
+    if (!down_) respond_to_watch(*opened, true);
   });
 }
 
-bool StateService::answer_watch(Watch& watch, bool allow_empty) {
-  if (watch.answered) return true;
+bool StateService::respond_to_watch(Watch& watch, bool allow_empty) {
+  if (watch.responded) return true;
   Json log = Json::array();
   for (const auto& each : changes_log_) {
     if (each.version <= watch.after_revision || !each.key.starts_with(watch.prefix)) continue;
@@ -178,14 +178,14 @@
     }
   }
   if (log.empty() && !allow_empty) return false;
-  watch.answered = true;
+  watch.responded = true;
   watch.respond({200, Json{{"epoch", revision_}, {"log", log}}.dump()});
   return true;
 }
 
-void StateService::answer_watches() {
-  for (auto& each : watches_) answer_watch(*each, false);
-  std::erase_if(watches_, [](const auto& each) { return each->answered; });
+void StateService::respond_to_watches() {
+  for (auto& each : watches_) respond_to_watch(*each, false);
+  std::erase_if(watches_, [](const auto& each) { return each->responded; });
 }
 
 void StateService::handle_lease(const HttpRequest& request, const OnResponse& respond) {
@@ -226,7 +226,7 @@
   if (attached.empty()) return;
   ++revision_;
   for (const auto& key : attached) erase(key);
-  answer_watches();
+  respond_to_watches();
 }
 
 }  // namespace poppystile::simulation
--- a/tests/simulation/state_service.hpp
+++ b/tests/simulation/state_service.hpp
@@ -72,7 +72,7 @@
     std::string prefix;
     std::uint64_t after_revision = 0;
     OnResponse respond;
-    bool answered = false;
+    bool responded = false;
   };
 
   bool take_tokens(TokenBucket& bucket, double rate, double amount);
@@ -82,8 +82,8 @@
   void erase(const std::string& key);
   void list(const std::map<std::string, std::string>& query, const OnResponse& respond);
   void watch(const std::map<std::string, std::string>& query, const OnResponse& respond);
-  bool answer_watch(Watch& watch, bool allow_empty);
-  void answer_watches();
+  bool respond_to_watch(Watch& watch, bool allow_empty);
+  void respond_to_watches();
   void handle_lease(const transport::HttpRequest& request, const OnResponse& respond);
   void schedule_expiry(std::uint64_t id);
   void expire_if_due(std::uint64_t id);
--- a/tests/simulation/worker.cpp
+++ b/tests/simulation/worker.cpp
@@ -64,7 +64,7 @@
   send_heartbeat_on_change();
 }
 
-std::int64_t Worker::room_for(const protocol::JobSpec& spec) const {
+std::int64_t Worker::startable_tasks(const protocol::JobSpec& spec) const {
   const bool usable =
       is_up_ && !tasks_.is_hanging() && !tasks_.do_tasks_fail() && preemption_at_ < 0;
   const bool allowed = (!host_.spot || spec.spot) && (!spec.zone || *spec.zone == host_.zone) &&
--- a/tests/simulation/worker.hpp
+++ b/tests/simulation/worker.hpp
@@ -44,7 +44,7 @@
   const HostMachine& host() const { return host_; }
   /// Number of tasks of this job that the worker could start now; zero if the job's placement
   /// constraints exclude the machine.
-  std::int64_t room_for(const protocol::JobSpec& spec) const;
+  std::int64_t startable_tasks(const protocol::JobSpec& spec) const;
 
   // Faults.
 
--- a/tests/simulation/worker_fleet.cpp
+++ b/tests/simulation/worker_fleet.cpp
@@ -49,13 +49,13 @@
   return out;
 }
 
-std::string WorkerFleet::machine_with_room_for(const protocol::JobSpec& spec) const {
+std::string WorkerFleet::machine_with_capacity_for(const protocol::JobSpec& spec) const {
   const std::int64_t needed = spec.kind == protocol::JobKind::gang ? spec.tasks : 1;
   // By zone if all tasks must be in one zone, otherwise under "".
-  std::map<std::string, std::int64_t> room;
+  std::map<std::string, std::int64_t> startable_by_zone;
   for (const auto& [machine, worker] : workers_) {
-    auto& tasks = room[spec.one_zone ? worker->host().zone : ""];
-    tasks += worker->room_for(spec);
+    auto& tasks = startable_by_zone[spec.one_zone ? worker->host().zone : ""];
+    tasks += worker->startable_tasks(spec);
     if (tasks >= needed) return machine;
   }
   return "";
--- a/tests/simulation/worker_fleet.hpp
+++ b/tests/simulation/worker_fleet.hpp
@@ -31,7 +31,7 @@
   /// Returns a machine on which the job could start now, or an empty string if there is none. A
   /// gang needs room for all of its tasks: in one zone if the job requires it, otherwise on all
   /// machines.
-  std::string machine_with_room_for(const protocol::JobSpec& spec) const;
+  std::string machine_with_capacity_for(const protocol::JobSpec& spec) const;
   /// Number of leases that expired without a fault of the machine or of its network.
   std::uint64_t unexplained_lease_expirations() const;
 
