--- a/tests/simulation/invariant_checker.cpp
+++ b/tests/simulation/invariant_checker.cpp
@@ -213,8 +213,9 @@
   }
   const double since = waiting_since_.emplace(job, queue_.now()).first->second;
   if (queue_.now() - std::max(since, faults_until_) <= max_waiting_s) return;
-  record_violation(Invariant::work_conserving,
-                   std::string(job).append(" waits although there is room on ").append(machine));
+  record_violation(
+      Invariant::work_conserving,
+      std::string(job).append(" waits although there is capacity on ").append(machine));
   waiting_since_[job] = queue_.now();
 }
 
--- a/tests/simulation/invariant_checker.hpp
+++ b/tests/simulation/invariant_checker.hpp
@@ -44,9 +44,13 @@
   done_means_completed,
   /// A job that was reported as done or cancelled stays in that state.
   terminal_state_final,
-  /// No job waits for long while a machine has room for it.
+  /// No job waits for more than 90 s, counted from the end of the last fault, while the machines
+  /// have capacity for it.
   work_conserving,
-  /// No class and no team is starved, and neither are the largest jobs of a class.
+  /// No class and no team is starved, and neither are the largest jobs of a class: at least half of
+  /// the jobs of each class and team start, and at least half of the tenth of a class's jobs with
+  /// the most tasks start within 240 s. Cancelled jobs and jobs submitted in the last 240 s do not
+  /// count.
   fair_service,
   /// An invalid submission is never accepted.
   invalid_request_refused
@@ -111,8 +115,8 @@
   /// Whether the job is not cancelled, has uncompleted tasks and none on a machine, and its team's
   /// quota allows one more task (for a gang: all of its tasks).
   bool is_waiting_within_quota(const std::string& job) const;
-  /// Must be called about once a second for every accepted job. `machine` is a machine with room
-  /// for the job if the job waits, and empty if it does not wait or no machine has room.
+  /// Must be called about once a second for every accepted job. `machine` is a machine with free
+  /// capacity for the job if the job waits, and empty if it does not wait or there is no capacity.
   void check_waiting_job(const std::string& job, const std::string& machine);
   /// Must be called once, at the end. Checks that all queries got responses and that no class, no
   /// team and no class's largest jobs were starved.
@@ -126,7 +130,8 @@
   std::uint64_t starts() const { return starts_; }
   /// The part of starts() that belongs to failing jobs.
   std::uint64_t failing_job_starts() const { return failing_job_starts_; }
-  /// Number of task starts later than 20 s after the confirmed cancellation of their job.
+  /// Number of task starts more than 20 s after the user got the confirmation of the job's
+  /// cancellation.
   std::uint64_t starts_after_cancellation() const { return starts_after_cancellation_; }
   std::size_t done_jobs() const { return done_.size(); }
   std::size_t accepted_jobs() const { return accepted_.size(); }
@@ -162,7 +167,7 @@
   std::map<std::string, double> cancelled_at_;  // when the user got the confirmation
   std::map<std::string, double> last_response_at_;
   std::map<std::string, double> last_queried_at_;  // time of the newest query
-  std::map<std::string, double> waiting_since_;    // while a machine has room
+  std::map<std::string, double> waiting_since_;    // while there is capacity for the job
   std::function<void(const std::string&)> on_job_completed_;
   double faults_until_ = 0;
   std::vector<std::string> violations_;
--- a/tests/simulation/scenario.hpp
+++ b/tests/simulation/scenario.hpp
@@ -19,9 +19,9 @@
 ///
 /// All times are in seconds. A controller is any, leader, follower, others (all but the leader,
 /// only for partitions), all (only for crashes) or a number. After the last fault has ended,
-/// queries for every accepted job must get responses again, and no job may wait while a machine has
-/// room for it. No class and no team may be starved, and neither may the largest jobs of a
-/// class.
+/// queries for every accepted job must get responses again, and no job may wait while the machines
+/// have capacity for it. No class, no team and no class's group of largest jobs may be starved (see
+/// Invariant::fair_service).
 #pragma once
 
 #include <memory>
--- a/tests/simulation/task_runner.hpp
+++ b/tests/simulation/task_runner.hpp
@@ -26,8 +26,8 @@
              protocol::MachineType type, std::function<void()> on_change);
 
   /// Starts an attempt of a task. The attempt exits at once if its job is unknown, another attempt
-  /// of the task has not exited, or the machine has no room. Does nothing if this attempt exists
-  /// already.
+  /// of the task has not exited, or the machine lacks the resources. Does nothing if this attempt
+  /// exists already.
   void start(const std::string& task_name, std::uint64_t attempt);
   /// Stops an attempt. A task of a gang has the time `grace` to save its progress. Does nothing if
   /// the attempt does not exist or has exited.
--- a/tests/simulation/worker_fleet.hpp
+++ b/tests/simulation/worker_fleet.hpp
@@ -29,7 +29,7 @@
   /// Returns `count` different random workers, or all workers if there are fewer.
   std::vector<Worker*> sample(int count) const;
   /// Returns a machine on which the job could start now, or an empty string if there is none. A
-  /// gang needs room for all of its tasks: in one zone if the job requires it, otherwise on all
+  /// gang needs capacity for all of its tasks: in one zone if the job requires it, otherwise on all
   /// machines.
   std::string machine_with_capacity_for(const protocol::JobSpec& spec) const;
   /// Number of leases that expired without a fault of the machine or of its network.
