--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -117,7 +117,7 @@
                                       std::random_device{}());
   const auto sockets = static_cast<std::size_t>(settings.sockets * constants::server_socket_share);
   const transport::HttpServer server(
-      loop, settings.listen, sockets, coordination::Controller::is_vital,
+      loop, settings.listen, sockets, coordination::Controller::is_heartbeat,
       [&](const transport::HttpRequest& request, transport::Respond respond) {
         controller.handle(request, std::move(respond));
       });
--- a/src/cluster/cluster_state.cpp
+++ b/src/cluster/cluster_state.cpp
@@ -29,10 +29,10 @@
   placement.team = job.spec().team;
   placement.index = index;
   placement.attempt = attempt;
-  placement.each = job.spec().each;
+  placement.task_resources = job.spec().task_resources;
   placement.phase_started_at = now;
-  machine.used += placement.each;
-  teams[placement.team].used += placement.each;
+  machine.used += placement.task_resources;
+  teams[placement.team].used += placement.task_resources;
   machine.placements.push_back(std::move(placement));
   return machine.placements.back();
 }
@@ -42,8 +42,8 @@
   Job* owner = job(placement.job);
   if (placement.phase == PlacementPhase::running && owner != nullptr) --owner->running;
   placement.phase = PlacementPhase::exited;
-  machine.used -= placement.each;
-  teams[placement.team].used -= placement.each;
+  machine.used -= placement.task_resources;
+  teams[placement.team].used -= placement.task_resources;
 }
 
 }  // namespace poppystile::cluster
--- a/src/cluster/gang_attempt.hpp
+++ b/src/cluster/gang_attempt.hpp
@@ -26,7 +26,7 @@
   SteadyTime placed_at;
   SteadyTime task_lost_at;  // When the latest loss of a task was detected.
   // Machines that lost a task of this attempt; no replacement is placed on them.
-  std::set<std::string> left;
+  std::set<std::string> machines_with_lost_tasks;
 
   /// Whether the attempt can no longer start or replace tasks.
   bool is_over() const { return phase == Phase::stopping || phase == Phase::ending; }
--- a/src/cluster/machine.hpp
+++ b/src/cluster/machine.hpp
@@ -71,7 +71,7 @@
   }
 
   /// Whether the image is in the machine's cache, according to `images`.
-  bool holds(const std::string& image) const;
+  bool has_cached(const std::string& image) const;
 
   /// Marks an image of `gb` GB as most recently used. Evicts the least recently used other images
   /// until the total fits into `cache_gb`.
--- a/src/cluster/placement.hpp
+++ b/src/cluster/placement.hpp
@@ -26,7 +26,7 @@
   std::string team;  // Kept here because the job may be erased before the placement.
   std::uint32_t index = 0;
   std::uint64_t attempt = 0;
-  Resources each;  // Resources of the task.
+  Resources task_resources;  // Resources of the task.
   PlacementPhase phase = PlacementPhase::assigned;
   bool stopping = false;                     // Its worker is to be sent a stop command.
   std::uint64_t last_reported_sequence = 0;  // Newest heartbeat that listed it; 0: none.
--- a/src/constants.hpp
+++ b/src/constants.hpp
@@ -249,7 +249,7 @@
 // attempt assembles sooner.
 inline constexpr double gang_replacement_share = 0.4;
 // Seconds after the newest gang of a class for which capacity is kept ready for the next one.
-inline constexpr Seconds gang_room_kept_for{120.0};
+inline constexpr Seconds gang_capacity_retention{120.0};
 // Seconds; the shortest run time that the planner assumes, so that no load is zero.
 inline constexpr Seconds min_estimated_run_time{1.0};
 // Pause after a plan as a multiple of its duration: planning uses at most a tenth of the time.
@@ -305,7 +305,7 @@
 inline constexpr Seconds silence_grace{90.0};
 // Seconds for which the fleet keeps capacity for the highest demand, since deleting a machine costs
 // at least 60 s of rent. Default of the property `fleet.idle-keep-s`.
-inline constexpr Seconds idle_keep{40.0};
+inline constexpr Seconds idle_capacity_retention{40.0};
 // Multiple of that highest demand for which capacity is kept, to have some for new work.
 inline constexpr double demand_headroom_factor = 1.1;
 // Largest fraction of the machines that are candidates for draining of which draining may start in
--- a/src/coordination/api/admission_check.cpp
+++ b/src/coordination/api/admission_check.cpp
@@ -36,8 +36,8 @@
 /// one after another, or all tasks of another job, which run at the same time.
 bool exceeds_team_limit(const JobSpec& job, const TeamSettings& team) {
   const std::int64_t tasks = job.kind == JobKind::array ? 1 : job.tasks;
-  return exceeds(job.each.cpus * tasks, team.cpus_max) ||
-         exceeds(job.each.gpus * tasks, team.gpus_max);
+  return exceeds(job.task_resources.cpus * tasks, team.cpus_max) ||
+         exceeds(job.task_resources.gpus * tasks, team.gpus_max);
 }
 
 }  // namespace
@@ -68,7 +68,7 @@
   for (const auto& type : machine_types) {
     if (!allows_type(job, type)) continue;
     allowed_types.push_back(type.name);
-    fits = fits || (allows_zone_of(job, type) && job.each.fits(type.size));
+    fits = fits || (allows_zone_of(job, type) && job.task_resources.fits(type.size));
   }
   if (!fits) return tl::unexpected(RejectionReason::no_fitting_machine_type);
   if (job.kind == JobKind::gang && !settings_.gang_times)
--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -48,7 +48,7 @@
       worker_reachability_(runtime, settings) {}
 
 void Controller::start() {
-  peer_transport_.on_frame([this](const std::string& frame) { on_peer_status(frame); });
+  peer_transport_.set_frame_handler([this](const std::string& frame) { on_peer_status(frame); });
   shared_state_.start();
   election_.start();
   leader_.start();
@@ -84,7 +84,7 @@
   if (election_.is_leader()) {
     observation.emplace();
     observation->is_ready = leader_.ready();
-    observation->lease_holds = election_.lease_holds();
+    observation->has_valid_lease = election_.has_valid_lease();
     observation->has_recent_peer_status = peer_monitor_.has_recent_peer_status();
     observation->responsive_machines = leader_.responsive_machine_count();
   }
@@ -143,10 +143,10 @@
 // --- requests ---
 
 // Returns the steady time until which this leader may respond to workers; see CancellationTracker.
-SteadyTime Controller::may_respond_until() const {
+SteadyTime Controller::response_deadline() const {
   if (!leader_.ready())
-    return cancellations_.may_respond_until_before_replay(election_.elected_at());
-  return cancellations_.may_respond_until();
+    return cancellations_.response_deadline_before_replay(election_.elected_at());
+  return cancellations_.response_deadline();
 }
 
 // Whether the health check reports that users can send requests to this controller. It fails until
@@ -170,11 +170,11 @@
   }
   if (!election_.is_leader()) return redirect_heartbeat(respond);
   worker_reachability_.count_direct();
-  if (runtime_.now() > may_respond_until()) return respond(cut_off_response());
+  if (runtime_.now() > response_deadline()) return respond(cut_off_response());
   // The time limit is checked again on sending, since the response may wait for the journal and the
   // process may have been paused: a response past the limit must not extend the worker's lease.
   leader_.handle_heartbeat(heartbeat, [this, respond](const HttpResponse& response) {
-    const bool limit_passed = response.status == 200 && runtime_.now() > may_respond_until();
+    const bool limit_passed = response.status == 200 && runtime_.now() > response_deadline();
     respond(limit_passed ? cut_off_response() : response);
   });
 }
@@ -197,7 +197,7 @@
   using Kind = Route::Kind;
   const Route route = protocol::parse_route(request.target);
   if (route.kind == Kind::none) return respond({404, protocol::encode_error("no such path")});
-  const bool is_read = route.kind == Kind::show || route.kind == Kind::up;
+  const bool is_read = route.kind == Kind::show || route.kind == Kind::health_check;
   if (request.method != (is_read ? "GET" : "POST"))
     return respond({405, protocol::encode_error("method not allowed")});
   switch (route.kind) {
--- a/src/coordination/controller.hpp
+++ b/src/coordination/controller.hpp
@@ -56,7 +56,7 @@
   void step_down_if_superseded(const protocol::PeerStatus& status);
   void handle_heartbeat(const std::string& body, const transport::Respond& respond);
   void redirect_heartbeat(const transport::Respond& respond);
-  SteadyTime may_respond_until() const;
+  SteadyTime response_deadline() const;
   bool accepts_requests() const;
   TaskCounts task_counts(const std::string& job) const;
 
--- a/src/coordination/election/leader_election.cpp
+++ b/src/coordination/election/leader_election.cpp
@@ -23,7 +23,7 @@
 
 protocol::Condition LeaderElection::fence() const { return {keys::leader, version_}; }
 
-bool LeaderElection::lease_holds() const {
+bool LeaderElection::has_valid_lease() const {
   return is_leader() && runtime_.now() - lease_confirmed_at_ <
                             constants::leader_lease_ttl * (1 - constants::clock_drift);
 }
--- a/src/coordination/election/leader_election.hpp
+++ b/src/coordination/election/leader_election.hpp
@@ -17,7 +17,7 @@
 ///
 /// At most one controller holds the key at a time. A leader may be deposed without noticing it at
 /// once. Therefore each of its writes must be conditional on `fence()`, and an action that is not
-/// protected by such a write is allowed only while `lease_holds()`.
+/// protected by such a write is allowed only while `has_valid_lease()`.
 class LeaderElection {
  public:
   /// All references must outlive the election. `name` is this controller's name, unique among its
@@ -40,7 +40,7 @@
   SteadyTime lease_confirmed_at() const { return lease_confirmed_at_; }
   /// Whether this controller is the leader and its lease cannot have expired yet, so that no other
   /// controller can be the leader.
-  bool lease_holds() const;
+  bool has_valid_lease() const;
   /// Steady time at which the last campaign that this controller won began.
   SteadyTime elected_at() const { return elected_at_; }
 
--- a/src/coordination/fleet/fleet_manager.cpp
+++ b/src/coordination/fleet/fleet_manager.cpp
@@ -51,7 +51,7 @@
   // Neither the cloud nor a worker checks which controller releases a machine. While this
   // controller was paused or cut off from the state service, a new leader may have placed tasks on
   // the machine, so nothing is released without a valid lease.
-  if (!registry_.is_active() || !election_.lease_holds()) return;
+  if (!registry_.is_active() || !election_.has_valid_lease()) return;
   catalog_updater_.refresh_if_due();
   if (catalog_.empty()) return;
   scale_out_.request_due_rentals();
@@ -73,9 +73,9 @@
   scale_out_.record_rentals(plan.rent, election_.token());
   demand_history_.record(now, plan.demand_cpus);
   scale_in_.apply_releases(plan);
-  // In the first `idle_keep` of a term, the peak of the demand history covers less than its window
-  // and would make needed machines appear idle.
-  if (now - term_started_at_ >= properties_.idle_keep) scale_in_.apply_drains(plan);
+  // In the first `idle_capacity_retention` of a term, the peak of the demand history covers less
+  // than its window and would make needed machines appear idle.
+  if (now - term_started_at_ >= properties_.idle_capacity_retention) scale_in_.apply_drains(plan);
 }
 
 planning::ScalingContext FleetManager::scaling_context(SteadyTime now) {
@@ -83,7 +83,7 @@
   context.wall_now = runtime_.wall_now();
   context.types = &catalog_.types();
   context.teams = &settings_.teams;
-  context.peak_cpus = demand_history_.peak(now, properties_.idle_keep);
+  context.peak_cpus = demand_history_.peak(now, properties_.idle_capacity_retention);
   context.service_reserve = properties_.service_reserve;
   context.refused = scale_out_.refused_offers();
   context.pending = scale_out_.pending_orders();
--- a/src/coordination/leader/failover_recovery.cpp
+++ b/src/coordination/leader/failover_recovery.cpp
@@ -59,7 +59,7 @@
 
 // A former leader responds to a worker only if the lease that the response extends expires within
 // `cancel_timeout` of the time up to which that leader has every cancellation, or of its own
-// election while it had not replayed the journal (Controller::may_respond_until). This time is not
+// election while it had not replayed the journal (Controller::response_deadline). This time is not
 // later than this controller's election: a former leader whose shared state or peer statuses
 // include the election steps down. Responses that this controller has sent since then extend leases
 // by `worker_lease`, which is shorter than `cancel_timeout`. From now on no controller extends a
--- a/src/coordination/leader/gang_tracker.cpp
+++ b/src/coordination/leader/gang_tracker.cpp
@@ -53,7 +53,7 @@
   }
   if (gang.gang.phase == Phase::running) return abandon(gang);
   gang.gang.task_lost_at = now;
-  gang.gang.left.insert(machine);
+  gang.gang.machines_with_lost_tasks.insert(machine);
 }
 
 void GangTracker::stop(Job& gang) {
--- a/src/coordination/leader/scheduling_loop.cpp
+++ b/src/coordination/leader/scheduling_loop.cpp
@@ -73,7 +73,7 @@
                      properties_.remote_offset_units, true};
   context.heartbeat_interval = settings_.heartbeat_interval;
   context.wall_now = runtime_.wall_now();
-  context.finish_aims = &settings_.finish_aims;
+  context.finish_objectives = &settings_.finish_objectives;
   if (settings_.gang_times)
     context.gang_task_replacement_window = settings_.gang_times->task_replacement_window();
   return context;
@@ -126,7 +126,7 @@
   least_waiting_cpus_ = std::numeric_limits<std::int64_t>::max();
   for (const auto& [id, job] : cluster_state_.jobs)
     if (job.waiting() > 0 && !job.record.cancelled)
-      least_waiting_cpus_ = std::min(least_waiting_cpus_, job.spec().each.cpus);
+      least_waiting_cpus_ = std::min(least_waiting_cpus_, job.spec().task_resources.cpus);
 }
 
 }  // namespace poppystile::coordination
--- a/src/coordination/leader/task_reconciler.cpp
+++ b/src/coordination/leader/task_reconciler.cpp
@@ -152,7 +152,7 @@
 }
 
 void TaskReconciler::record_cached_image(Machine& machine, const Job& job) {
-  const bool was_cached = machine.holds(job.spec().image);
+  const bool was_cached = machine.has_cached(job.spec().image);
   machine.mark_image_used(job.spec().image, job.spec().image_gb);
   if (!was_cached) journal_.append(storage::ImageCached{machine.id, machine.images.back()});
 }
--- a/src/coordination/peers/cancellation_tracker.cpp
+++ b/src/coordination/peers/cancellation_tracker.cpp
@@ -17,7 +17,7 @@
       // fresh.
       spdlog::error("peer status incomplete, too many cancelled jobs limit={}",
                     constants::max_advertised_cancellations);
-      status.all_cancelled = false;
+      status.cancelled_is_complete = false;
       return;
     }
     status.cancelled.push_back(id);
@@ -29,7 +29,7 @@
 }
 
 void CancellationTracker::confirm(const protocol::PeerStatus& status) {
-  if (!status.all_cancelled) return;
+  if (!status.cancelled_is_complete) return;
   if (status.fresh_as_of_wall != WallTime{})
     peers_fresh_as_of_ = std::max(peers_fresh_as_of_, to_steady(status.fresh_as_of_wall));
   PeerConfirmation& confirmation = confirmations_[status.name];
@@ -64,11 +64,11 @@
   return confirmed_by_all;
 }
 
-SteadyTime CancellationTracker::may_respond_until() const {
+SteadyTime CancellationTracker::response_deadline() const {
   return complete_until() + response_budget();
 }
 
-SteadyTime CancellationTracker::may_respond_until_before_replay(SteadyTime elected_at) const {
+SteadyTime CancellationTracker::response_deadline_before_replay(SteadyTime elected_at) const {
   return elected_at + response_budget() * constants::response_share_before_replay;
 }
 
--- a/src/coordination/peers/cancellation_tracker.hpp
+++ b/src/coordination/peers/cancellation_tracker.hpp
@@ -44,10 +44,10 @@
   SteadyTime complete_until() const;
   /// Steady time until which a leader that has replayed the journal may respond to workers. Each
   /// response extends the worker's lease by its full duration.
-  SteadyTime may_respond_until() const;
+  SteadyTime response_deadline() const;
   /// The same limit for a leader elected at `elected_at` that has not replayed the journal yet. Its
   /// responses extend leases but stop no tasks, not even those cancelled before its election.
-  SteadyTime may_respond_until_before_replay(SteadyTime elected_at) const;
+  SteadyTime response_deadline_before_replay(SteadyTime elected_at) const;
 
  private:
   struct PeerConfirmation {
--- a/src/coordination/peers/worker_reachability.cpp
+++ b/src/coordination/peers/worker_reachability.cpp
@@ -59,7 +59,8 @@
   const Seconds silence = silent_intervals_ * constants::peer_heartbeat_interval;
   return silence > constants::max_heartbeat_interval_factor * settings_.heartbeat_interval +
                        constants::lease_margin &&
-         leader.responsive_machines >= constants::reachability_min_machines && leader.lease_holds;
+         leader.responsive_machines >= constants::reachability_min_machines &&
+         leader.has_valid_lease;
 }
 
 // Returns whether any interval was dropped: only then do the remaining ones span the whole window.
--- a/src/coordination/peers/worker_reachability.hpp
+++ b/src/coordination/peers/worker_reachability.hpp
@@ -26,7 +26,7 @@
 /// The leader's state at the end of an interval.
 struct LeaderObservation {
   bool is_ready = false;                // The leader has replayed the journal.
-  bool lease_holds = false;             // The leader lease cannot have expired yet.
+  bool has_valid_lease = false;         // The leader lease cannot have expired yet.
   bool has_recent_peer_status = false;  // A recent status of any peer has arrived.
   std::size_t responsive_machines = 0;
 };
--- a/src/coordination/state/shared_state_cache.cpp
+++ b/src/coordination/state/shared_state_cache.cpp
@@ -92,8 +92,8 @@
   try {
     if (key.starts_with(keys::jobs)) {
       apply_job(key.substr(keys::jobs.size()), value, version);
-    } else if (key.starts_with(keys::over)) {
-      apply_final_state(key.substr(keys::over.size()), value);
+    } else if (key.starts_with(keys::final_records)) {
+      apply_final_state(key.substr(keys::final_records.size()), value);
     } else if (key == keys::leader) {
       apply_leader(value, version);
     } else if (key == keys::token && value && version > token_version_) {
--- a/src/planning/array_batch.cpp
+++ b/src/planning/array_batch.cpp
@@ -32,7 +32,7 @@
   const std::uint32_t added = labl_job.task_count;
   if (added == 0) return 0;
   quotas_.add(spec, added);
-  free_cpus_ -= spec.each.cpus * added;
+  free_cpus_ -= spec.task_resources.cpus * added;
   jobs_.push_back(std::move(labl_job));
   specs_.push_back(&spec);
   return added;
@@ -52,13 +52,13 @@
   std::int64_t free_tasks = 0;
   const std::string required_zone = job.one_zone ? choose_zone(job) : "";
   for (const auto& slot : draft_.slots()) {
-    const auto concurrent_tasks = job.each.times_in(slot.array_capacity);
+    const auto concurrent_tasks = job.task_resources.times_in(slot.array_capacity);
     const bool is_allowed = concurrent_tasks > 0 && draft_.is_allowed(slot, job) &&
                             (required_zone.empty() || required_zone == slot.machine->zone);
     labl_job.local_cost.push_back(
         is_allowed ? expected_run_time(job).count() / static_cast<double>(concurrent_tasks) : 0);
-    labl_job.has_image.push_back(is_allowed && slot.has_or_fetches(job.image) ? 1 : 0);
-    if (is_allowed) free_tasks += job.each.times_in(slot.free);
+    labl_job.has_image.push_back(is_allowed && slot.has_cached_or_is_fetching(job.image) ? 1 : 0);
+    if (is_allowed) free_tasks += job.task_resources.times_in(slot.free);
   }
   labl_job.task_count =
       static_cast<std::uint32_t>(std::min<std::int64_t>(free_tasks, constants::max_tasks));
@@ -69,7 +69,7 @@
   std::map<std::string, std::int64_t> capacity_by_zone;
   for (const auto& slot : draft_.slots())
     if (draft_.is_allowed(slot, job))
-      capacity_by_zone[slot.machine->zone] += job.each.times_in(slot.array_capacity);
+      capacity_by_zone[slot.machine->zone] += job.task_resources.times_in(slot.array_capacity);
   const auto best =
       std::max_element(capacity_by_zone.begin(), capacity_by_zone.end(),
                        [](const auto& a, const auto& b) { return a.second < b.second; });
@@ -83,7 +83,7 @@
     MachineSlot& slot = draft_.slots()[assignment.server];
     if (!draft_.fits(slot, spec) || draft_.quotas().remaining_tasks(spec) == 0) continue;
     const auto concurrent_tasks =
-        std::max<std::int64_t>(1, spec.each.times_in(slot.array_capacity));
+        std::max<std::int64_t>(1, spec.task_resources.times_in(slot.array_capacity));
     slot.load += expected_run_time(spec) / static_cast<double>(concurrent_tasks);
     draft_.place(slot, spec);
   }
--- a/src/planning/array_placement.cpp
+++ b/src/planning/array_placement.cpp
@@ -37,7 +37,7 @@
     const JobSpec& spec = job->spec();
     std::uint32_t remaining =
         std::min(count_unplaced(*job, placed_by_job), draft_.quotas().remaining_tasks(spec));
-    while (remaining > 0 && place_anywhere(spec)) --remaining;
+    while (remaining > 0 && place_with_least_fetch_time(spec)) --remaining;
     while (remaining > 0 && preemption_.make_room(*job)) --remaining;
   }
 }
@@ -51,8 +51,8 @@
     const JobSpec& spec = job->spec();
     std::uint32_t remaining = count_unplaced(*job, placed_by_job);
     for (MachineSlot* slot : slots_with_free_cpus)
-      for (; remaining > 0 && slot->has_or_fetches(spec.image) && draft_.fits(*slot, spec) &&
-             draft_.quotas().remaining_tasks(spec) > 0;
+      for (; remaining > 0 && slot->has_cached_or_is_fetching(spec.image) &&
+             draft_.fits(*slot, spec) && draft_.quotas().remaining_tasks(spec) > 0;
            --remaining)
         draft_.place(*slot, spec);
   }
@@ -63,16 +63,16 @@
   for (const Job* job : jobs)
     if (order_.is_first_task_overdue(*job) && !placed_by_job.contains(job->spec().id) &&
         draft_.quotas().remaining_tasks(job->spec()) > 0)
-      place_anywhere(job->spec());
+      place_with_least_fetch_time(job->spec());
 }
 
-bool ArrayPlacement::place_anywhere(const JobSpec& job) {
+bool ArrayPlacement::place_with_least_fetch_time(const JobSpec& job) {
   MachineSlot* best = nullptr;
   double least_fetch = 0;
   for (auto& slot : draft_.slots()) {
     if (!draft_.fits(slot, job)) continue;
     const double fetch =
-        slot.has_or_fetches(job.image) ? 0 : job.image_gb / slot.machine->fetch_gb_per_s;
+        slot.has_cached_or_is_fetching(job.image) ? 0 : job.image_gb / slot.machine->fetch_gb_per_s;
     if (best != nullptr && fetch >= least_fetch) continue;
     best = &slot;
     least_fetch = fetch;
--- a/src/planning/array_placement.hpp
+++ b/src/planning/array_placement.hpp
@@ -48,7 +48,7 @@
                    std::map<const cluster::Job*, std::uint32_t>& batched_by_job);
   /// Places one task on the machine with the least fetch time among those where it fits. Returns
   /// false when there is none.
-  bool place_anywhere(const protocol::JobSpec& job);
+  bool place_with_least_fetch_time(const protocol::JobSpec& job);
   /// Number of the job's schedulable tasks that are not in `placed_by_job`, the placements of this
   /// plan.
   static std::uint32_t count_unplaced(const cluster::Job& job, const TaskCounts& placed_by_job);
--- a/src/planning/autoscaler/bin_packer.cpp
+++ b/src/planning/autoscaler/bin_packer.cpp
@@ -12,9 +12,9 @@
 
 // Places as many of `count` tasks as fit into the bin, and returns their number.
 std::uint32_t fill(Bin& bin, const JobSpec& spec, std::uint32_t count) {
-  const auto fitting =
-      static_cast<std::uint32_t>(std::min<std::int64_t>(spec.each.times_in(bin.room), count));
-  for (std::uint32_t i = 0; i < fitting; ++i) bin.room -= spec.each;
+  const auto fitting = static_cast<std::uint32_t>(
+      std::min<std::int64_t>(spec.task_resources.times_in(bin.room), count));
+  for (std::uint32_t i = 0; i < fitting; ++i) bin.room -= spec.task_resources;
   return fitting;
 }
 
@@ -75,7 +75,7 @@
   for (const auto& type : types_)
     for (const auto& zone : type.zones) room.try_emplace(zone, 0);
   for (const auto& bin : supply_.bins)
-    if (may_run_on(spec, bin.offer)) room[bin.offer.zone] += spec.each.times_in(bin.room);
+    if (may_run_on(spec, bin.offer)) room[bin.offer.zone] += spec.task_resources.times_in(bin.room);
   return room;
 }
 
--- a/src/planning/autoscaler/capacity_demand.cpp
+++ b/src/planning/autoscaler/capacity_demand.cpp
@@ -39,10 +39,11 @@
   // Takes the CPUs of up to `wanted` tasks from the quota of the job's team. Returns the number of
   // tasks that the quota permits.
   std::uint32_t take(const JobSpec& spec, std::uint32_t wanted) {
-    if (spec.each.cpus <= 0) return wanted;
+    if (spec.task_resources.cpus <= 0) return wanted;
     auto& remaining = remaining_[spec.team];
-    const auto permitted = std::clamp<std::int64_t>(remaining / spec.each.cpus, 0, wanted);
-    remaining -= spec.each.cpus * permitted;
+    const auto permitted =
+        std::clamp<std::int64_t>(remaining / spec.task_resources.cpus, 0, wanted);
+    remaining -= spec.task_resources.cpus * permitted;
     return static_cast<std::uint32_t>(permitted);
   }
 
@@ -84,7 +85,7 @@
            bool prefer_quick_start) {
     const std::uint32_t permitted = quotas_.take(spec, wanted);
     if (permitted == 0) return;
-    demand_.cpus += spec.each.cpus * permitted;
+    demand_.cpus += spec.task_resources.cpus * permitted;
     demand_.tasks.push_back({spec, wanted, permitted, purpose, prefer_quick_start});
   }
 
@@ -114,11 +115,11 @@
     }
   }
 
-  // Adds room for the next gang of each class that had one within `gang_room_kept_for`, as large as
-  // the largest recent gang of the class.
+  // Adds room for the next gang of each class that had one within `gang_capacity_retention`, as
+  // large as the largest recent gang of the class.
   void add_gang_reserves() {
     for (const auto& [name, recent] : cluster_state_.recent_gangs)
-      if (context_.wall_now - recent.last_submitted_at < constants::gang_room_kept_for)
+      if (context_.wall_now - recent.last_submitted_at < constants::gang_capacity_retention)
         add(recent.largest, recent.largest.tasks, DemandPurpose::reserve, true);
   }
 
--- a/src/planning/autoscaler/capacity_supply.cpp
+++ b/src/planning/autoscaler/capacity_supply.cpp
@@ -15,7 +15,7 @@
 std::int64_t service_cpus_on(const ClusterState& cluster_state, const Machine& machine) {
   std::int64_t cpus = 0;
   for (const auto& placement : machine.placements)
-    if (service_of(cluster_state, placement) != nullptr) cpus += placement.each.cpus;
+    if (service_of(cluster_state, placement) != nullptr) cpus += placement.task_resources.cpus;
   return cpus;
 }
 
--- a/src/planning/autoscaler/offer_selector.cpp
+++ b/src/planning/autoscaler/offer_selector.cpp
@@ -47,7 +47,7 @@
   std::optional<Offer> best;
   double lowest_score = 0;
   for (const auto& type : types_) {
-    const auto tasks_per_machine = spec.each.times_in(type.size);
+    const auto tasks_per_machine = spec.task_resources.times_in(type.size);
     if (tasks_per_machine <= 0) continue;
     const double delay_factor = prefer_quick_start ? start_delay_factor(spec, type) : 1;
     for (const Offer& offer : offers_of(type)) {
--- a/src/planning/autoscaler/scale_in_policy.cpp
+++ b/src/planning/autoscaler/scale_in_policy.cpp
@@ -24,7 +24,7 @@
     const Machine& machine = entry;
     if (!machine.draining || !counts_as_capacity(machine, now)) continue;
     const auto fits = [&machine](const TaskDemand* demand) {
-      return may_run_on(demand->spec, machine) && demand->spec.each.fits(machine.room());
+      return may_run_on(demand->spec, machine) && demand->spec.task_resources.fits(machine.room());
     };
     if (machines_are_missing || std::any_of(unplaced.begin(), unplaced.end(), fits))
       ids.push_back(id);
@@ -110,8 +110,8 @@
       for (auto& [bin, room] : reserved) bin->room += room;
       return false;
     }
-    target->room -= service->each;
-    reserved.emplace_back(target, service->each);
+    target->room -= service->task_resources;
+    reserved.emplace_back(target, service->task_resources);
   }
   return true;
 }
@@ -121,8 +121,8 @@
 Bin* ScaleInPolicy::find_target(const JobSpec& service, const Bin& source) {
   const auto found = std::find_if(bins_.begin(), bins_.end(), [&](const Bin& bin) {
     return &bin != &source && bin.machine != nullptr && bin.machine->has_reported &&
-           bin.machine->holds(service.image) && bin.service_cpus > 0 &&
-           may_run_on(service, bin.offer) && service.each.fits(bin.room);
+           bin.machine->has_cached(service.image) && bin.service_cpus > 0 &&
+           may_run_on(service, bin.offer) && service.task_resources.fits(bin.room);
   });
   return found == bins_.end() ? nullptr : &*found;
 }
--- a/src/planning/eligibility.cpp
+++ b/src/planning/eligibility.cpp
@@ -39,11 +39,12 @@
 }
 
 std::optional<Seconds> completion_target(const JobSpec& job,
-                                         const std::vector<protocol::FinishAim>& aims) {
+                                         const std::vector<protocol::FinishObjective>& aims) {
   if (job.deadline) return job.deadline;
   std::optional<Seconds> target;
   for (const auto& aim : aims)
-    if (aim.job_class == job.job_class) target = std::min(target.value_or(aim.within), aim.within);
+    if (aim.job_class == job.job_class)
+      target = std::min(target.value_or(aim.time_limit), aim.time_limit);
   return target;
 }
 
--- a/src/planning/eligibility.hpp
+++ b/src/planning/eligibility.hpp
@@ -35,6 +35,6 @@
 /// Time from a job's submission until it should be finished: the job's own deadline, else the
 /// shortest aim for its class, else nothing.
 std::optional<Seconds> completion_target(const protocol::JobSpec& job,
-                                         const std::vector<protocol::FinishAim>& aims);
+                                         const std::vector<protocol::FinishObjective>& aims);
 
 }  // namespace poppystile::planning
--- a/src/planning/gang_placement.cpp
+++ b/src/planning/gang_placement.cpp
@@ -72,7 +72,7 @@
     if (!is_in_zone(slot, zone)) continue;
     // The start command of a lost task may reach its former machine again, which would then run
     // the task beside its replacement.
-    if (job.gang.left.contains(slot.machine->id)) continue;
+    if (job.gang.machines_with_lost_tasks.contains(slot.machine->id)) continue;
     if (draft_.fits(slot, spec)) candidates.push_back(&slot);
   }
   std::sort(candidates.begin(), candidates.end(), [&](const MachineSlot* a, const MachineSlot* b) {
@@ -122,7 +122,7 @@
     std::uint32_t free_tasks = 0;
     for (const auto& slot : draft_.slots()) {
       if (!is_in_zone(slot, zone) || !may_run_on(spec, *slot.machine)) continue;
-      attainable_tasks += spec.each.times_in(slot.array_capacity);
+      attainable_tasks += spec.task_resources.times_in(slot.array_capacity);
       free_tasks += slot.task_capacity(spec);
     }
     if (attainable_tasks < job.schedulable_tasks()) continue;
--- a/src/planning/job_order.cpp
+++ b/src/planning/job_order.cpp
@@ -41,7 +41,7 @@
 SchedulingKey JobOrder::make_key(const Job& job) const {
   const WallTime submitted = job.record.accepted_at;
   const Seconds allowed =
-      constants::overdue_target_factor * completion_target(job.spec(), *context_.finish_aims)
+      constants::overdue_target_factor * completion_target(job.spec(), *context_.finish_objectives)
                                              .value_or(constants::default_completion_target);
   const WallTime latest_start = submitted + allowed - expected_run_time(job.spec());
   if (context_.wall_now <= latest_start) return {DeadlineStatus::attainable, latest_start};
@@ -70,8 +70,8 @@
     std::int64_t cpus = 0;
     std::int64_t gpus = 0;
     for (const Job* job : jobs) {
-      cpus += job->spec().each.cpus * job->spec().tasks;
-      gpus += job->spec().each.gpus * job->spec().tasks;
+      cpus += job->spec().task_resources.cpus * job->spec().tasks;
+      gpus += job->spec().task_resources.gpus * job->spec().tasks;
       if (cpus <= std::llround(team.cpus * 1000) && gpus <= std::llround(team.gpus * 1000))
         guaranteed_.insert(job);
     }
--- a/src/planning/machine_slot.cpp
+++ b/src/planning/machine_slot.cpp
@@ -27,16 +27,16 @@
 bool awaits_image(const Placement& placement, const Machine& machine, const JobSpec& job) {
   const bool before_run =
       placement.phase == PlacementPhase::assigned || placement.phase == PlacementPhase::fetching;
-  return before_run && !machine.holds(job.image);
+  return before_run && !machine.has_cached(job.image);
 }
 
 /// Adds a placement that the machine has already to the slot's counts. `job` is null if the cluster
 /// state no longer has the placement's job.
 void count_placement(MachineSlot& slot, const Placement& placement, const Job* job,
                      ReplicaZones& replicas) {
-  if (placement.stopping) slot.being_freed += placement.each;
+  if (placement.stopping) slot.being_freed += placement.task_resources;
   const bool is_replica = job != nullptr && job->spec().kind == JobKind::service;
-  if (job == nullptr || is_replica) slot.array_capacity -= placement.each;
+  if (job == nullptr || is_replica) slot.array_capacity -= placement.task_resources;
   if (is_replica) replicas.add(job->spec().job_class, slot.machine->zone);
   if (job == nullptr || !awaits_image(placement, *slot.machine, job->spec())) return;
   if (is_replica) ++slot.replicas_awaiting_image;
@@ -48,7 +48,7 @@
                        SteadyTime now) {
   if (job == nullptr || job->spec().kind == JobKind::service) return Seconds{0};
   const JobSpec& spec = job->spec();
-  const auto concurrent_tasks = spec.each.times_in(slot.array_capacity);
+  const auto concurrent_tasks = spec.task_resources.times_in(slot.array_capacity);
   if (concurrent_tasks <= 0) return Seconds{0};
   const Seconds expected = expected_run_time(spec);
   const Seconds elapsed =
@@ -74,17 +74,17 @@
 std::uint32_t MachineSlot::task_capacity(const JobSpec& job) const {
   const std::size_t by_count = saturating_subtract(constants::max_tasks_per_machine, task_count);
   return static_cast<std::uint32_t>(
-      std::min(job.each.times_in(free), static_cast<std::int64_t>(by_count)));
+      std::min(job.task_resources.times_in(free), static_cast<std::int64_t>(by_count)));
 }
 
 void MachineSlot::occupy(const JobSpec& job) {
-  free -= job.each;
+  free -= job.task_resources;
   ++task_count;
   if (job.kind == JobKind::service) {
-    array_capacity -= job.each;
-    if (!machine->holds(job.image)) ++replicas_awaiting_image;
+    array_capacity -= job.task_resources;
+    if (!machine->has_cached(job.image)) ++replicas_awaiting_image;
   }
-  if (!has_or_fetches(job.image)) pending_images.push_back(job.image);
+  if (!has_cached_or_is_fetching(job.image)) pending_images.push_back(job.image);
 }
 
 MachineSlot make_slot(const Machine& machine, const ClusterState& cluster_state, SteadyTime now,
@@ -118,7 +118,7 @@
 
 Seconds image_fetch_time(const MachineSlot& slot, const JobSpec& job,
                          std::size_t competing_fetches) {
-  if (slot.machine->holds(job.image)) return Seconds{0};
+  if (slot.machine->has_cached(job.image)) return Seconds{0};
   const Seconds single_fetch{job.image_gb / slot.machine->fetch_gb_per_s};
   const std::size_t fetches = slot.is_fetching(job.image)
                                   ? slot.pending_images.size()
--- a/src/planning/machine_slot.hpp
+++ b/src/planning/machine_slot.hpp
@@ -38,8 +38,8 @@
   bool is_fetching(const std::string& image) const;
   /// Whether a further task needs no fetch of its own: the image is cached, or one fetch of it
   /// serves every task that waits for it.
-  bool has_or_fetches(const std::string& image) const {
-    return machine->holds(image) || is_fetching(image);
+  bool has_cached_or_is_fetching(const std::string& image) const {
+    return machine->has_cached(image) || is_fetching(image);
   }
   /// Resources that are free once the stopping tasks have exited.
   protocol::Resources free_after_stops() const;
--- a/src/planning/plan_draft.cpp
+++ b/src/planning/plan_draft.cpp
@@ -37,7 +37,7 @@
 }
 
 bool PlanDraft::fits(const MachineSlot& slot, const JobSpec& job) {
-  return slot.task_count < constants::max_tasks_per_machine && job.each.fits(slot.free) &&
+  return slot.task_count < constants::max_tasks_per_machine && job.task_resources.fits(slot.free) &&
          is_allowed(slot, job);
 }
 
@@ -54,7 +54,7 @@
 }
 
 void PlanDraft::preempt(MachineSlot& slot, const Placement& placement) {
-  slot.being_freed += placement.each;
+  slot.being_freed += placement.task_resources;
   record_preemption(*slot.machine, placement);
 }
 
@@ -63,7 +63,7 @@
     MachineSlot* slot = find_slot(*machine);
     for (const auto& placement : machine->placements) {
       if (placement.index != index || placement.job != gang.spec().id) continue;
-      if (slot != nullptr) slot->being_freed += placement.each;
+      if (slot != nullptr) slot->being_freed += placement.task_resources;
       record_preemption(*machine, placement);
     }
   }
--- a/src/planning/planner.hpp
+++ b/src/planning/planner.hpp
@@ -52,7 +52,7 @@
   LablWeights weights;
   Seconds heartbeat_interval{1};
   WallTime wall_now;
-  const std::vector<protocol::FinishAim>* finish_aims = nullptr;
+  const std::vector<protocol::FinishObjective>* finish_objectives = nullptr;
   Seconds gang_task_replacement_window{0};  // GangTimes::task_replacement_window
 };
 
--- a/src/planning/preemption.cpp
+++ b/src/planning/preemption.cpp
@@ -18,7 +18,7 @@
   const auto best = find_best_victims(waiting_job);
   if (!best) return false;
   for (const Placement* each : best->placements) preempt(*best->slot, *each);
-  best->slot->being_freed -= job.each;
+  best->slot->being_freed -= job.task_resources;
   return true;
 }
 
@@ -35,8 +35,9 @@
 bool Preemption::reserve_being_freed(const JobSpec& job) {
   for (auto& slot : draft_.slots()) {
     if (slot.being_freed.cpus <= 0) continue;
-    if (!draft_.is_allowed(slot, job) || !job.each.fits(slot.free_after_stops())) continue;
-    slot.being_freed -= job.each;
+    if (!draft_.is_allowed(slot, job) || !job.task_resources.fits(slot.free_after_stops()))
+      continue;
+    slot.being_freed -= job.task_resources;
     return true;
   }
   return false;
@@ -78,11 +79,11 @@
   GangShare share{&slot, 0, {}};
   Resources available_resources = slot.free_after_stops();
   for (const Placement* each : victim_selector_.candidates(slot, waiting_job)) {
-    if (job.each.times_in(available_resources) >= unassigned_tasks) break;
-    available_resources += each->each;
+    if (job.task_resources.times_in(available_resources) >= unassigned_tasks) break;
+    available_resources += each->task_resources;
     share.victims.push_back(each);
   }
-  share.task_count = std::min(unassigned_tasks, job.each.times_in(available_resources));
+  share.task_count = std::min(unassigned_tasks, job.task_resources.times_in(available_resources));
   return share;
 }
 
@@ -91,10 +92,10 @@
   for (const Placement* each : share.victims)
     if (!draft_.is_preempted(*each)) preempt(*share.slot, *each);
   for (std::int64_t i = 0; i < share.task_count; ++i) {
-    if (gang.each.fits(share.slot->free)) {
+    if (gang.task_resources.fits(share.slot->free)) {
       draft_.reserve(*share.slot, gang);
     } else {
-      share.slot->being_freed -= gang.each;
+      share.slot->being_freed -= gang.task_resources;
     }
   }
 }
--- a/src/planning/team_quotas.cpp
+++ b/src/planning/team_quotas.cpp
@@ -36,15 +36,15 @@
   const auto found = used_.find(job.team);
   const Resources used = found == used_.end() ? Resources{} : found->second;
   std::int64_t count = constants::max_tasks;
-  apply_limit(count, limit->second.cpus, used.cpus, job.each.cpus);
-  apply_limit(count, limit->second.gpus, used.gpus, job.each.gpus);
+  apply_limit(count, limit->second.cpus, used.cpus, job.task_resources.cpus);
+  apply_limit(count, limit->second.gpus, used.gpus, job.task_resources.gpus);
   return static_cast<std::uint32_t>(std::max<std::int64_t>(0, count));
 }
 
 void TeamQuotas::add(const JobSpec& job, std::uint32_t count) {
   const std::int64_t factor = count;
-  used_[job.team] +=
-      Resources{job.each.cpus * factor, job.each.gpus * factor, job.each.memory * factor};
+  used_[job.team] += Resources{job.task_resources.cpus * factor, job.task_resources.gpus * factor,
+                               job.task_resources.memory * factor};
 }
 
 }  // namespace poppystile::planning
--- a/src/planning/victim_selector.cpp
+++ b/src/planning/victim_selector.cpp
@@ -58,11 +58,11 @@
   std::vector<const Placement*> victims;
   Resources available_resources = slot.free_after_stops();
   for (const Placement* each : candidates(slot, waiting_job)) {
-    if (job.each.fits(available_resources)) break;
-    available_resources += each->each;
+    if (job.task_resources.fits(available_resources)) break;
+    available_resources += each->task_resources;
     victims.push_back(each);
   }
-  if (!job.each.fits(available_resources)) victims.clear();
+  if (!job.task_resources.fits(available_resources)) victims.clear();
   return victims;
 }
 
--- a/src/protocol/peer_messages.cpp
+++ b/src/protocol/peer_messages.cpp
@@ -71,7 +71,7 @@
   out.add(status.redirected_heartbeats);
   out.add(encode_counts(status.counts));
   out.add(encode_ids(status.cancelled));
-  out.add_flag(status.all_cancelled);
+  out.add_flag(status.cancelled_is_complete);
   return out.serialize();
 }
 
@@ -90,7 +90,7 @@
   out.redirected_heartbeats = reader.read_number();
   const bool has_counts = read_counts(reader.read_array(), out.counts);
   const bool has_cancelled = read_ids(reader.read_array(), out.cancelled);
-  out.all_cancelled = reader.read_flag();
+  out.cancelled_is_complete = reader.read_flag();
   if (!has_counts || !has_cancelled || !reader.ok()) return std::nullopt;
   return out;
 }
--- a/src/protocol/peer_messages.hpp
+++ b/src/protocol/peer_messages.hpp
@@ -38,7 +38,7 @@
   std::vector<std::string> cancelled;
   /// Whether `cancelled` is complete. If it is not, a job that is absent from it may be cancelled
   /// all the same, so the status confirms nothing about cancellations.
-  bool all_cancelled = true;
+  bool cancelled_is_complete = true;
 };
 
 std::string encode_peer_status(const PeerStatus& status);
--- a/src/protocol/properties.cpp
+++ b/src/protocol/properties.cpp
@@ -15,7 +15,7 @@
 namespace poppystile::protocol {
 
 Properties::Properties()
-    : idle_keep(constants::idle_keep),
+    : idle_capacity_retention(constants::idle_capacity_retention),
       service_reserve(constants::service_reserve),
       remote_offset_units(constants::remote_offset_units) {}
 
@@ -31,7 +31,8 @@
 const std::map<std::string, PropertyRule>& property_rules() {
   static const std::map<std::string, PropertyRule> rules = {
       {"fleet.idle-keep-s",
-       {0, 3600, [](Properties& out, double value) { out.idle_keep = Seconds{value}; }}},
+       {0, 3600,
+        [](Properties& out, double value) { out.idle_capacity_retention = Seconds{value}; }}},
       {"fleet.service-reserve",
        {0, 2, [](Properties& out, double value) { out.service_reserve = value; }}},
       {"planner.remote-offset-units",
--- a/src/protocol/properties.hpp
+++ b/src/protocol/properties.hpp
@@ -11,9 +11,9 @@
 /// The parameters that operators can override. The constants of the same names in constants.hpp
 /// explain them and are their defaults.
 struct Properties {
-  Seconds idle_keep;           ///< Key fleet.idle-keep-s.
-  double service_reserve;      ///< Key fleet.service-reserve.
-  double remote_offset_units;  ///< Key planner.remote-offset-units.
+  Seconds idle_capacity_retention;  ///< Key fleet.idle-keep-s.
+  double service_reserve;           ///< Key fleet.service-reserve.
+  double remote_offset_units;       ///< Key planner.remote-offset-units.
   Properties();
 };
 
--- a/src/protocol/route.cpp
+++ b/src/protocol/route.cpp
@@ -25,7 +25,7 @@
 Route parse_route(const std::string& target) {
   const std::string_view path = std::string_view(target).substr(0, target.find('?'));
   if (path == submissions_path) return {Route::Kind::submit, ""};
-  if (path == health_path) return {Route::Kind::up, ""};
+  if (path == health_path) return {Route::Kind::health_check, ""};
   if (path == heartbeat_path) return {Route::Kind::heartbeat, ""};
   if (path.starts_with(job_path_prefix))
     return parse_job_route(path.substr(job_path_prefix.size()));
--- a/src/protocol/settings.cpp
+++ b/src/protocol/settings.cpp
@@ -162,7 +162,8 @@
   for (const Json& item : need_list(given, objectives_field)) {
     if (!item.is_object()) throw DecodeError::expected(objectives_field, "a list of objects");
     if (need_text(item, "kind") != "finished") continue;
-    out.finish_aims.push_back({need_text(item, "class"), need_positive_seconds(item, "within_s")});
+    out.finish_objectives.push_back(
+        {need_text(item, "class"), need_positive_seconds(item, "within_s")});
   }
 }
 
--- a/src/protocol/settings.hpp
+++ b/src/protocol/settings.hpp
@@ -30,7 +30,7 @@
 };
 
 /// An objective that users set: jobs of the class finish within this time.
-struct FinishAim {
+struct FinishObjective {
   std::string job_class;
   Seconds within{0};
 };
@@ -56,7 +56,7 @@
   transport::Endpoint state;
   std::vector<std::string> zones;
   std::vector<TeamSettings> teams;
-  std::vector<FinishAim> finish_aims;
+  std::vector<FinishObjective> finish_objectives;
   Seconds heartbeat_interval{1};
   Seconds worker_lease{10};
   Seconds cancel_timeout{30};
--- a/src/protocol/submission.cpp
+++ b/src/protocol/submission.cpp
@@ -88,7 +88,7 @@
   job.kind = need_enum<JobKind>(body, wire::job_kind, kind_values);
   job.priority = need_enum<Priority>(body, priority_field, priority_values);
   job.tasks = need_task_count(body);
-  job.each = need_task_resources(body);
+  job.task_resources = need_task_resources(body);
   if (find(body, wire::machine_types) != nullptr) job.types = need_texts(body, wire::machine_types);
   if (find(body, wire::zone) != nullptr) job.zone = need_text(body, wire::zone);
   job.one_zone = need_flag(body, one_zone_field);
@@ -118,7 +118,7 @@
               {estimated_run_time_field, job.estimated_run_time.count()},
               {checkpoint_interval_field, job.checkpoint_interval.count()},
               {checkpoint_save_time_field, job.checkpoint_save_time.count()}};
-  encode_resources(job.each, out);
+  encode_resources(job.task_resources, out);
   if (job.types) out[wire::machine_types] = *job.types;
   if (job.zone) out[wire::zone] = *job.zone;
   if (job.deadline) out[deadline_field] = job.deadline->count();
--- a/src/protocol/submission.hpp
+++ b/src/protocol/submission.hpp
@@ -26,7 +26,7 @@
   JobKind kind = JobKind::array;
   Priority priority = Priority::normal;
   std::uint32_t tasks = 0;
-  Resources each;                                 ///< Resources of one task.
+  Resources task_resources;                       ///< Resources of one task.
   std::optional<std::vector<std::string>> types;  ///< Allowed machine types; nullopt: all.
   std::optional<std::string> zone;                ///< The only allowed zone; nullopt: all.
   bool one_zone = false;                          ///< All tasks must run in the same zone.
--- a/src/storage/records.hpp
+++ b/src/storage/records.hpp
@@ -34,7 +34,7 @@
 }  // namespace keys
 
 inline std::string job_key(const std::string& id) { return keys::jobs + id; }
-inline std::string final_record_key(const std::string& id) { return keys::over + id; }
+inline std::string final_record_key(const std::string& id) { return keys::final_records + id; }
 /// The elected leader and its fencing token.
 struct LeaderRecord {
   std::string name;
--- a/src/transport/peer_connections.cpp
+++ b/src/transport/peer_connections.cpp
@@ -148,7 +148,7 @@
   for (auto& each : outgoing_) each->send(frame);
 }
 
-void PeerConnections::on_frame(std::function<void(const std::string&)> handler) {
+void PeerConnections::set_frame_handler(std::function<void(const std::string&)> handler) {
   handler_ = std::move(handler);
 }
 
--- a/src/transport/peer_connections.hpp
+++ b/src/transport/peer_connections.hpp
@@ -20,7 +20,7 @@
   /// Sends the frame to all peers.
   virtual void broadcast(const std::string& frame) = 0;
   /// Sets the handler for received frames. Frames that arrive before the first call are dropped.
-  virtual void on_frame(std::function<void(const std::string&)> handler) = 0;
+  virtual void set_frame_handler(std::function<void(const std::string&)> handler) = 0;
 };
 
 /// Peer transport over TCP. Each controller opens a connection to every peer and only sends on it;
@@ -35,7 +35,7 @@
 
   /// For a peer without an established connection, drops the frame and starts to connect.
   void broadcast(const std::string& frame) override;
-  void on_frame(std::function<void(const std::string&)> handler) override;
+  void set_frame_handler(std::function<void(const std::string&)> handler) override;
 
  private:
   class Outgoing;
--- a/tests/simulation/controller_process.cpp
+++ b/tests/simulation/controller_process.cpp
@@ -203,7 +203,7 @@
   }
 }
 
-void ControllerProcess::on_frame(std::function<void(const std::string&)> handler) {
+void ControllerProcess::set_frame_handler(std::function<void(const std::string&)> handler) {
   frame_handler_ = std::move(handler);
 }
 
--- a/tests/simulation/controller_process.hpp
+++ b/tests/simulation/controller_process.hpp
@@ -79,7 +79,7 @@
   void call(const transport::Endpoint& to, transport::HttpRequest request, Seconds timeout,
             std::function<void(transport::HttpResponse)> done) override;
   void broadcast(const std::string& frame) override;
-  void on_frame(std::function<void(const std::string&)> handler) override;
+  void set_frame_handler(std::function<void(const std::string&)> handler) override;
 
  private:
   using OnResponse = std::function<void(const transport::HttpResponse&)>;
--- a/tests/simulation/invariant_checker.cpp
+++ b/tests/simulation/invariant_checker.cpp
@@ -73,7 +73,7 @@
       record_violation(Invariant::at_most_one_copy,
                        std::string(name).append(" and ").append(machine));
   check_placement(spec, index, host);
-  if (hosts.empty()) team_usage_[spec.team] += spec.each.cpus;
+  if (hosts.empty()) team_usage_[spec.team] += spec.task_resources.cpus;
   hosts[host.machine] = host;
   const auto quota = team_quotas_[spec.team];
   if (quota > 0 && team_usage_[spec.team] > quota)
@@ -126,7 +126,7 @@
   const auto it = hosts_.find({job, index});
   if (it == hosts_.end() || it->second.erase(machine) == 0 || !it->second.empty()) return;
   hosts_.erase(it);
-  team_usage_[jobs_.at(job).team] -= jobs_.at(job).each.cpus;
+  team_usage_[jobs_.at(job).team] -= jobs_.at(job).task_resources.cpus;
 }
 
 void InvariantChecker::record_task_completed(const std::string& job, std::uint32_t index) {
@@ -202,7 +202,7 @@
   if (quota == team_quotas_.end() || quota->second == 0) return true;
   const auto usage = team_usage_.find(spec.team);
   const std::int64_t needed =
-      spec.each.cpus * (spec.kind == protocol::JobKind::gang ? spec.tasks : 1);
+      spec.task_resources.cpus * (spec.kind == protocol::JobKind::gang ? spec.tasks : 1);
   return (usage == team_usage_.end() ? 0 : usage->second) + needed <= quota->second;
 }
 
--- a/tests/simulation/load_generator.cpp
+++ b/tests/simulation/load_generator.cpp
@@ -71,8 +71,8 @@
   job.kind = kind_of(load.text("kind", "array"));
   job.priority = priority_of(load.text("priority", "normal"));
   job.tasks = static_cast<std::uint32_t>(sample_range(queue, load.text("tasks", "1")));
-  job.each = {static_cast<std::int64_t>(load.number("cpus", 2) * milli), 0,
-              static_cast<std::int64_t>(load.number("memory", 2) * milli)};
+  job.task_resources = {static_cast<std::int64_t>(load.number("cpus", 2) * milli), 0,
+                        static_cast<std::int64_t>(load.number("memory", 2) * milli)};
   job.spot = load.flag("spot");
   job.one_zone = load.flag("one_zone");
   job.spread = load.flag("spread");
--- a/tests/simulation/task_runner.cpp
+++ b/tests/simulation/task_runner.cpp
@@ -98,9 +98,9 @@
   const protocol::JobSpec* spec = invariants_.find_job(task.job);
   if (spec == nullptr) return reject(std::move(task), "unknown");
   if (has_unexited_attempt(task)) return reject(std::move(task), "busy");
-  if (!spec->each.fits(free_resources())) return reject(std::move(task), "no_room");
+  if (!spec->task_resources.fits(free_resources())) return reject(std::move(task), "no_room");
   task.stage = "pulling";
-  task.resources = spec->each;
+  task.resources = spec->task_resources;
   tasks_.push_back(task);
   queue_.at(image_ready_at(*spec), [this, run = task.run] { begin(run); });
   on_change_();
--- a/tests/simulation/worker.cpp
+++ b/tests/simulation/worker.cpp
@@ -70,7 +70,7 @@
   const bool allowed = (!host_.spot || spec.spot) && (!spec.zone || *spec.zone == host_.zone) &&
                        (!spec.types || std::find(spec.types->begin(), spec.types->end(),
                                                  host_.type) != spec.types->end());
-  return usable && allowed ? spec.each.times_in(tasks_.free_resources()) : 0;
+  return usable && allowed ? spec.task_resources.times_in(tasks_.free_resources()) : 0;
 }
 
 void Worker::check_lease() {
--- a/tests/unit/admission_check_test.cpp
+++ b/tests/unit/admission_check_test.cpp
@@ -22,7 +22,7 @@
     settings.teams = {{"vision", 8, 40, 0, 2}};
     job.team = "vision";
     job.tasks = 16;
-    job.each = {8000, 1000, 32000};
+    job.task_resources = {8000, 1000, 32000};
   }
 
   /// The reason for which `job` is rejected, or nothing if it is admitted.
@@ -55,7 +55,7 @@
   job.zone = "z";
   EXPECT_EQ(rejection(), RejectionReason::no_fitting_machine_type);
   job.zone.reset();
-  job.each.memory = 64001;
+  job.task_resources.memory = 64001;
   EXPECT_EQ(rejection(), RejectionReason::no_fitting_machine_type);
 }
 
--- a/tests/unit/autoscaler_test.cpp
+++ b/tests/unit/autoscaler_test.cpp
@@ -33,7 +33,7 @@
   }
   static JobSpec replica(const std::string& id) {
     JobSpec job = spec(id, JobKind::service, 1, Priority::production);
-    job.each = {4000, 0, 4000};
+    job.task_resources = {4000, 0, 4000};
     job.spot = false;
     job.image_gb = 2.5;
     return job;
--- a/tests/unit/cancellation_tracker_test.cpp
+++ b/tests/unit/cancellation_tracker_test.cpp
@@ -64,7 +64,7 @@
 
 TEST_F(CancellationTrackerTest, IncompleteStatusConfirmsNothing) {
   PeerStatus incomplete = make_status("stile-1");
-  incomplete.all_cancelled = false;
+  incomplete.cancelled_is_complete = false;
   incomplete.fresh_as_of_wall = caller.wall_now();
   tracker.confirm(incomplete);
   tracker.confirm(make_status("stile-2"));
@@ -97,7 +97,7 @@
   PeerStatus status;
   tracker.advertise(status);
   EXPECT_EQ(status.cancelled, (std::vector<std::string>{"req-1", "req-2"}));
-  EXPECT_TRUE(status.all_cancelled);
+  EXPECT_TRUE(status.cancelled_is_complete);
   EXPECT_EQ(status.fresh_as_of_wall, shared_state.fresh_as_of_wall());
 }
 
@@ -107,19 +107,19 @@
   PeerStatus status;
   tracker.advertise(status);
   EXPECT_EQ(status.cancelled.size(), constants::max_advertised_cancellations);
-  EXPECT_FALSE(status.all_cancelled);
+  EXPECT_FALSE(status.cancelled_is_complete);
 }
 
 TEST_F(CancellationTrackerTest, ResponsesEndEarlyEnoughForLeasesToExpireWithinTheCancelTimeout) {
   const SteadyTime lease_expires =
-      tracker.may_respond_until() + settings.worker_lease * (1 + constants::clock_drift);
+      tracker.response_deadline() + settings.worker_lease * (1 + constants::clock_drift);
   EXPECT_LT(lease_expires, tracker.complete_until() + settings.cancel_timeout);
 }
 
 TEST_F(CancellationTrackerTest, LeaderThatHasNotReplayedTheJournalMayRespondForAShareOfTheBudget) {
-  const Seconds response_budget = tracker.may_respond_until() - tracker.complete_until();
+  const Seconds response_budget = tracker.response_deadline() - tracker.complete_until();
   const SteadyTime elected_at = caller.now();
-  const Seconds unready_budget = tracker.may_respond_until_before_replay(elected_at) - elected_at;
+  const Seconds unready_budget = tracker.response_deadline_before_replay(elected_at) - elected_at;
   EXPECT_NEAR(unready_budget.count(),
               (response_budget * constants::response_share_before_replay).count(), 1e-9);
 }
--- a/tests/unit/cluster_state_test.cpp
+++ b/tests/unit/cluster_state_test.cpp
@@ -18,7 +18,7 @@
     spec.id = "req-1";
     spec.team = "vision";
     spec.tasks = 3;
-    spec.each.cpus = 2;
+    spec.task_resources.cpus = 2;
     job.record.spec = spec;
     job.phases.resize(spec.tasks);
   }
@@ -104,9 +104,9 @@
   machine.mark_image_used("b", 4);
   machine.mark_image_used("a", 4);
   machine.mark_image_used("c", 5);
-  EXPECT_TRUE(machine.holds("a"));
-  EXPECT_FALSE(machine.holds("b"));
-  EXPECT_TRUE(machine.holds("c"));
+  EXPECT_TRUE(machine.has_cached("a"));
+  EXPECT_FALSE(machine.has_cached("b"));
+  EXPECT_TRUE(machine.has_cached("c"));
 }
 
 }  // namespace
--- a/tests/unit/consistent_reader_test.cpp
+++ b/tests/unit/consistent_reader_test.cpp
@@ -31,7 +31,7 @@
     record.spec.team = "vision";
     record.spec.image = "img-07";
     record.spec.tasks = 1;
-    record.spec.each = {1000, 0, 1000};
+    record.spec.task_resources = {1000, 0, 1000};
     simulation::write_record(service, storage::job_key(job_id), storage::encode(record));
   }
 
--- a/tests/unit/controller_test.cpp
+++ b/tests/unit/controller_test.cpp
@@ -20,7 +20,7 @@
 
 struct FakePeerTransport : transport::PeerTransport {
   void broadcast(const std::string&) override {}
-  void on_frame(std::function<void(const std::string&)> handler) override {
+  void set_frame_handler(std::function<void(const std::string&)> handler) override {
     deliver_frame = std::move(handler);
   }
   std::function<void(const std::string&)> deliver_frame;
@@ -126,7 +126,7 @@
 
 TEST_F(ControllerTest, IncompleteListOfCancellationsConfirmsNothing) {
   EXPECT_FALSE(responds_after(response_budget + Seconds{1}, [](auto& status) {
-    if (status.name == "stile-2") status.all_cancelled = false;
+    if (status.name == "stile-2") status.cancelled_is_complete = false;
   }));
 }
 
--- a/tests/unit/gang_test.cpp
+++ b/tests/unit/gang_test.cpp
@@ -34,7 +34,7 @@
  protected:
   GangTest() {
     context.teams = &teams;
-    context.finish_aims = &aims;
+    context.finish_objectives = &aims;
     context.gang_task_replacement_window =
         protocol::GangTimes{Seconds{40}, Seconds{6}}.task_replacement_window();
   }
@@ -66,7 +66,7 @@
 
   ClusterState cluster_state;
   std::vector<protocol::TeamSettings> teams = {{"ops", 0, 0, 0, 0}};
-  std::vector<protocol::FinishAim> aims;
+  std::vector<protocol::FinishObjective> aims;
   planning::PlanningContext context;
   protocol::Settings settings;
 };
--- a/tests/unit/machine_slot_test.cpp
+++ b/tests/unit/machine_slot_test.cpp
@@ -59,7 +59,7 @@
   place("service");
   const MachineSlot result = slot();
   EXPECT_EQ(result.pending_images, std::vector<std::string>{"img"});
-  EXPECT_TRUE(result.has_or_fetches("img"));
+  EXPECT_TRUE(result.has_cached_or_is_fetching("img"));
   EXPECT_EQ(result.replicas_awaiting_image, 1u);
 }
 
--- a/tests/unit/offer_selector_test.cpp
+++ b/tests/unit/offer_selector_test.cpp
@@ -38,9 +38,9 @@
 TEST_F(OfferSelectorTest, SkipsRefusedOffersAndTypesThatAreTooSmall) {
   refused = {{"slow", "a", true}, {"slow", "b", true}};
   EXPECT_EQ(cheapest(job), (Offer{"quick", "a", true}));
-  job.each.cpus = 20000;
+  job.task_resources.cpus = 20000;
   EXPECT_EQ(cheapest(job), (Offer{"slow", "a", false}));
-  job.each.cpus = 40000;
+  job.task_resources.cpus = 40000;
   EXPECT_EQ(cheapest(job), std::nullopt);
 }
 
--- a/tests/unit/peer_messages_test.cpp
+++ b/tests/unit/peer_messages_test.cpp
@@ -17,7 +17,7 @@
 TEST(PeerMessagesTest, DecodesItsEncodingAndRejectsMalformedFrames) {
   protocol::PeerStatus status = peer_status();
   status.fresh_as_of_wall = wall_at(1.5e9);
-  status.all_cancelled = false;
+  status.cancelled_is_complete = false;
   const std::string frame = protocol::encode_peer_status(status);
   const auto again = protocol::decode_peer_status(frame);
   ASSERT_TRUE(again.has_value());
@@ -28,7 +28,7 @@
   EXPECT_EQ(again->started_at, wall_at(1.4e9));
   EXPECT_EQ(again->state_contact_at, wall_at(1.6e9));
   EXPECT_EQ(again->fresh_as_of_wall, wall_at(1.5e9));
-  EXPECT_FALSE(again->all_cancelled);
+  EXPECT_FALSE(again->cancelled_is_complete);
   EXPECT_EQ(again->cancelled.at(0), "req-7");
   EXPECT_FALSE(protocol::decode_peer_status("").has_value());
   EXPECT_FALSE(protocol::decode_peer_status("\x81\x01").has_value());
--- a/tests/unit/planner_fixture.hpp
+++ b/tests/unit/planner_fixture.hpp
@@ -16,7 +16,7 @@
  protected:
   PlannerTest() {
     context.teams = &teams;
-    context.finish_aims = &aims;
+    context.finish_objectives = &aims;
   }
   Plan plan() { return make_plan(cluster_state, context); }
   /// Applies the plan's placements to the cluster state, each with an attempt number of its own.
@@ -28,7 +28,7 @@
 
   ClusterState cluster_state;
   std::vector<protocol::TeamSettings> teams = {{"ops", 0, 0, 0, 0}};
-  std::vector<protocol::FinishAim> aims;
+  std::vector<protocol::FinishObjective> aims;
   PlanningContext context;
   std::uint64_t attempts = 0;
 };
--- a/tests/unit/planning_samples.hpp
+++ b/tests/unit/planning_samples.hpp
@@ -27,7 +27,7 @@
   job.kind = kind;
   job.tasks = tasks;
   job.priority = priority;
-  job.each = {2000, 0, 1000};
+  job.task_resources = {2000, 0, 1000};
   job.image = "img";
   job.image_gb = 1;
   job.estimated_run_time = Seconds{20};
--- a/tests/unit/shared_state_cache_test.cpp
+++ b/tests/unit/shared_state_cache_test.cpp
@@ -23,7 +23,7 @@
     job.spec.id = id;
     job.spec.job_class = job.spec.team = job.spec.image = "x";
     job.spec.tasks = 1;
-    job.spec.each = {1000, 0, 1000};
+    job.spec.task_resources = {1000, 0, 1000};
     return storage::encode(job);
   }
 };
--- a/tests/unit/simulation_test.cpp
+++ b/tests/unit/simulation_test.cpp
@@ -57,7 +57,7 @@
     job.job_class = "sweep";
     job.team = "ops";
     job.tasks = 2;
-    job.each = {2000, 0, 1000};
+    job.task_resources = {2000, 0, 1000};
     checker.record_submission(job);
   }
 
--- a/tests/unit/submission_test.cpp
+++ b/tests/unit/submission_test.cpp
@@ -19,7 +19,7 @@
 TEST(SubmissionTest, DecodesItsEncoding) {
   const auto job = protocol::parse_submission(protocol::parse_object(submission));
   EXPECT_EQ(job.id, "req-000412");
-  EXPECT_EQ(job.each.memory, 64000);
+  EXPECT_EQ(job.task_resources.memory, 64000);
   EXPECT_FALSE(job.zone.has_value());
   const auto again = protocol::parse_submission(protocol::encode_submission(job));
   EXPECT_EQ(protocol::encode_submission(again), protocol::encode_submission(job));
--- a/tests/unit/task_reconciler_test.cpp
+++ b/tests/unit/task_reconciler_test.cpp
@@ -19,14 +19,14 @@
   received.tasks = {reported(placement, TaskState::fetching)};
   reconciler.reconcile(machine, received);
   EXPECT_EQ(placement.phase, PlacementPhase::fetching);
-  EXPECT_FALSE(machine.holds("img"));
+  EXPECT_FALSE(machine.has_cached("img"));
   received = heartbeat(machine, 2);
   received.tasks = {reported(placement, TaskState::running)};
   reconciler.reconcile(machine, received);
   EXPECT_EQ(placement.phase, PlacementPhase::running);
   EXPECT_EQ(placement.last_reported_sequence, 2u);
   EXPECT_EQ(job.running, 1u);
-  EXPECT_TRUE(machine.holds("img"));
+  EXPECT_TRUE(machine.has_cached("img"));
 }
 
 TEST_F(TaskReconcilerTest, FinishedTaskKeepsItsPlacementUntilTheJournalRecordsIt) {
--- a/tests/unit/team_quotas_test.cpp
+++ b/tests/unit/team_quotas_test.cpp
@@ -12,7 +12,7 @@
 
 class TeamQuotasTest : public testing::Test {
  protected:
-  TeamQuotasTest() { job.each = {2000, 1000, 0}; }
+  TeamQuotasTest() { job.task_resources = {2000, 1000, 0}; }
 
   JobSpec job = spec("req-1", JobKind::array, 100, Priority::normal);
   std::map<std::string, cluster::TeamUsage> usage;
--- a/tests/unit/victim_selector_test.cpp
+++ b/tests/unit/victim_selector_test.cpp
@@ -13,7 +13,7 @@
  protected:
   VictimSelectorTest() : machine(add(cluster_state, "a1", 8)) {
     context.teams = &teams;
-    context.finish_aims = &aims;
+    context.finish_objectives = &aims;
     add(cluster_state, spec("waiting", JobKind::service, 1, Priority::high));
   }
   void place(const std::string& id, JobKind kind, Priority priority, SteadyTime started) {
@@ -35,7 +35,7 @@
   ClusterState cluster_state;
   Machine& machine;
   std::vector<protocol::TeamSettings> teams = {{"ops", 0, 0, 0, 0}};
-  std::vector<protocol::FinishAim> aims;
+  std::vector<protocol::FinishObjective> aims;
   PlanningContext context;
 };
 
@@ -49,7 +49,7 @@
 
 TEST_F(VictimSelectorTest, NothingIsPreemptedIfAllCandidatesFreeTooLittle) {
   machine.size.cpus = 2000;
-  cluster_state.jobs.at("waiting").record.spec.each.cpus = 4000;
+  cluster_state.jobs.at("waiting").record.spec.task_resources.cpus = 4000;
   place("low", JobKind::array, Priority::low, steady_at(1));
   EXPECT_TRUE(victims().empty());
 }
--- a/tests/unit/worker_reachability_test.cpp
+++ b/tests/unit/worker_reachability_test.cpp
@@ -38,7 +38,7 @@
   protocol::Settings settings = make_settings();
   WorkerReachability reachability{clock, settings};
   std::optional<LeaderObservation> leader = LeaderObservation{.is_ready = true,
-                                                              .lease_holds = true,
+                                                              .has_valid_lease = true,
                                                               .has_recent_peer_status = true,
                                                               .responsive_machines = 10};
 };
@@ -77,12 +77,12 @@
 }
 
 TEST_F(WorkerReachabilityTest, SilenceInAnOutageOfTheStateServiceDoesNotMakeItResign) {
-  leader->lease_holds = false;
+  leader->has_valid_lease = false;
   EXPECT_EQ(end_intervals(30, 0, 0), std::nullopt);
 }
 
 TEST_F(WorkerReachabilityTest, ResignsWhenNeitherHeartbeatsNorPeerStatusesArrive) {
-  leader->lease_holds = false;
+  leader->has_valid_lease = false;
   leader->has_recent_peer_status = false;
   EXPECT_EQ(end_intervals(30, 0, 0), ResignReason::no_worker_reports);
 }
@@ -96,7 +96,7 @@
 TEST_F(WorkerReachabilityTest, FollowerNeverResignsAndKeepsNoCounts) {
   leader.reset();
   EXPECT_EQ(end_intervals(30, 0, 50), std::nullopt);
-  leader = LeaderObservation{.is_ready = true, .lease_holds = true, .responsive_machines = 10};
+  leader = LeaderObservation{.is_ready = true, .has_valid_lease = true, .responsive_machines = 10};
   EXPECT_EQ(end_intervals(3, 1, 0), std::nullopt);
 }
 
