--- a/src/protocol/submission.hpp
+++ b/src/protocol/submission.hpp
@@ -30,7 +30,7 @@
   std::optional<std::vector<std::string>> types;  ///< Allowed machine types; nullopt: all.
   std::optional<std::string> zone;                ///< The only allowed zone; nullopt: all.
   bool one_zone = false;                          ///< All tasks must run in the same zone.
-  bool spread = false;                            ///< Tasks must run on different machines.
+  bool spread = false;                            ///< At most half the tasks per zone, rounded up.
   bool spot = false;                              ///< Tasks may run on spot machines.
   std::string image;
   double image_gb = 0;
