--- a/src/cluster/machine.hpp
+++ b/src/cluster/machine.hpp
@@ -64,7 +64,7 @@
   SteadyTime unresponsive_since;
 
   /// Resources that are not in use.
-  Resources room() const {
+  Resources free_resources() const {
     Resources free = size;
     free -= used;
     return free;
--- a/src/coordination/leader/scheduling_loop.cpp
+++ b/src/coordination/leader/scheduling_loop.cpp
@@ -45,7 +45,7 @@
 
 bool SchedulingLoop::may_place_on(const Machine& machine) const {
   return plan_requested_ && planning::is_schedulable(machine, runtime_.now()) &&
-         machine.room().cpus >= least_waiting_cpus_;
+         machine.free_resources().cpus >= least_waiting_cpus_;
 }
 
 void SchedulingLoop::plan() {
--- a/src/planning/autoscaler/bin_packer.cpp
+++ b/src/planning/autoscaler/bin_packer.cpp
@@ -13,8 +13,8 @@
 // Places as many of `count` tasks as fit into the bin, and returns their number.
 std::uint32_t fill(Bin& bin, const JobSpec& spec, std::uint32_t count) {
   const auto fitting = static_cast<std::uint32_t>(
-      std::min<std::int64_t>(spec.task_resources.times_in(bin.room), count));
-  for (std::uint32_t i = 0; i < fitting; ++i) bin.room -= spec.task_resources;
+      std::min<std::int64_t>(spec.task_resources.times_in(bin.free_resources), count));
+  for (std::uint32_t i = 0; i < fitting; ++i) bin.free_resources -= spec.task_resources;
   return fitting;
 }
 
@@ -57,12 +57,13 @@
   std::optional<std::string> best;
   std::int64_t best_capacity = 0;
   bool best_suffices = false;
-  for (const auto& [zone, room] : task_capacity_by_zone(demand.spec)) {
-    const bool suffices = room >= demand.wanted || can_rent_in(zone, demand.spec);
-    if (best && (best_suffices > suffices || (best_suffices == suffices && best_capacity >= room)))
+  for (const auto& [zone, task_capacity] : task_capacity_by_zone(demand.spec)) {
+    const bool suffices = task_capacity >= demand.wanted || can_rent_in(zone, demand.spec);
+    if (best &&
+        (best_suffices > suffices || (best_suffices == suffices && best_capacity >= task_capacity)))
       continue;
     best = zone;
-    best_capacity = room;
+    best_capacity = task_capacity;
     best_suffices = suffices;
   }
   return best;
@@ -71,12 +72,13 @@
 // Returns for how many tasks the bins of each zone have capacity: 0 for zones of the catalog
 // without suitable bins.
 std::map<std::string, std::int64_t> BinPacker::task_capacity_by_zone(const JobSpec& spec) const {
-  std::map<std::string, std::int64_t> room;
+  std::map<std::string, std::int64_t> task_capacity;
   for (const auto& type : types_)
-    for (const auto& zone : type.zones) room.try_emplace(zone, 0);
+    for (const auto& zone : type.zones) task_capacity.try_emplace(zone, 0);
   for (const auto& bin : supply_.bins)
-    if (may_run_on(spec, bin.offer)) room[bin.offer.zone] += spec.task_resources.times_in(bin.room);
-  return room;
+    if (may_run_on(spec, bin.offer))
+      task_capacity[bin.offer.zone] += spec.task_resources.times_in(bin.free_resources);
+  return task_capacity;
 }
 
 bool BinPacker::can_rent_in(const std::string& zone, const JobSpec& spec) const {
--- a/src/planning/autoscaler/capacity_supply.cpp
+++ b/src/planning/autoscaler/capacity_supply.cpp
@@ -72,7 +72,7 @@
     if (is_boot_overdue(machine, context.wall_now)) ++supply.composition.overdue[offer];
     if (machine.draining || !counts_as_capacity(machine, context.wall_now)) continue;
     supply.bins.push_back(
-        {offer, machine.room(), &machine, service_cpus_on(cluster_state, machine)});
+        {offer, machine.free_resources(), &machine, service_cpus_on(cluster_state, machine)});
     supply.composition.add_available(offer);
   }
   for (const auto& order : context.pending)
--- a/src/planning/autoscaler/capacity_supply.hpp
+++ b/src/planning/autoscaler/capacity_supply.hpp
@@ -15,7 +15,7 @@
 /// The free capacity of one machine, which bin packing reduces as it places tasks.
 struct Bin {
   Offer offer;
-  protocol::Resources room;
+  protocol::Resources free_resources;
   const cluster::Machine* machine = nullptr;  ///< Null for a machine that is not rented yet
   std::int64_t service_cpus = 0;              ///< Thousandths of CPUs used by replicas of services
 };
--- a/src/planning/autoscaler/scale_in_policy.cpp
+++ b/src/planning/autoscaler/scale_in_policy.cpp
@@ -24,7 +24,8 @@
     const Machine& machine = entry;
     if (!machine.draining || !counts_as_capacity(machine, now)) continue;
     const auto fits = [&machine](const TaskDemand* demand) {
-      return may_run_on(demand->spec, machine) && demand->spec.task_resources.fits(machine.room());
+      return may_run_on(demand->spec, machine) &&
+             demand->spec.task_resources.fits(machine.free_resources());
     };
     if (machines_are_missing || std::any_of(unplaced.begin(), unplaced.end(), fits))
       ids.push_back(id);
@@ -52,8 +53,8 @@
     if (machine.size.cpus > excess) continue;
     if (bin.service_cpus > 0 && !reserve_capacity_for_replicas(bin)) continue;
     // A machine on which capacity is reserved for another machine's replicas is not drained itself.
-    if (bin.room.cpus != machine.room().cpus) continue;
-    bin.room = {};
+    if (bin.free_resources.cpus != machine.free_resources().cpus) continue;
+    bin.free_resources = {};
     excess -= machine.size.cpus;
     ids.push_back(machine.id);
   }
@@ -64,7 +65,7 @@
   std::vector<Candidate> candidates;
   for (auto& bin : bins_) {
     if (bin.machine == nullptr || !bin.machine->has_reported) continue;
-    const bool is_needed = bin.room.cpus != bin.machine->room().cpus;
+    const bool is_needed = bin.free_resources.cpus != bin.machine->free_resources().cpus;
     if (!is_needed) candidates.push_back({&bin, price_per_cpu(*bin.machine)});
   }
   const auto sort_key = [](const Candidate& candidate) {
@@ -108,10 +109,10 @@
     if (service == nullptr) continue;
     Bin* target = find_target(*service, source);
     if (target == nullptr) {
-      for (auto& [bin, room] : reserved) bin->room += room;
+      for (auto& [bin, reserved_resources] : reserved) bin->free_resources += reserved_resources;
       return false;
     }
-    target->room -= service->task_resources;
+    target->free_resources -= service->task_resources;
     reserved.emplace_back(target, service->task_resources);
   }
   return true;
@@ -123,7 +124,7 @@
   const auto found = std::find_if(bins_.begin(), bins_.end(), [&](const Bin& bin) {
     return &bin != &source && bin.machine != nullptr && bin.machine->has_reported &&
            bin.machine->has_cached(service.image) && bin.service_cpus > 0 &&
-           may_run_on(service, bin.offer) && service.task_resources.fits(bin.room);
+           may_run_on(service, bin.offer) && service.task_resources.fits(bin.free_resources);
   });
   return found == bins_.end() ? nullptr : &*found;
 }
--- a/src/planning/machine_slot.cpp
+++ b/src/planning/machine_slot.cpp
@@ -91,7 +91,7 @@
                       ReplicaZones& replicas) {
   MachineSlot slot;
   slot.machine = &machine;
-  slot.free = machine.room();
+  slot.free = machine.free_resources();
   slot.array_capacity = machine.size;
   slot.task_count = machine.placements.size();
   for (const auto& placement : machine.placements)
--- a/tests/unit/bin_packer_test.cpp
+++ b/tests/unit/bin_packer_test.cpp
@@ -35,7 +35,7 @@
   packer.pack(demand);
   EXPECT_TRUE(packer.missing_machines().empty());
   ASSERT_EQ(packer.bins().size(), 1u);
-  EXPECT_EQ(packer.bins()[0].room.cpus, 0);
+  EXPECT_EQ(packer.bins()[0].free_resources.cpus, 0);
 }
 
 TEST_F(BinPackerTest, CountsPendingRentalsAsCapacity) {
