--- a/src/constants.hpp
+++ b/src/constants.hpp
@@ -101,9 +101,9 @@
 inline constexpr Seconds max_peer_status_age{3.0};
 
 // Seconds over which heartbeats are counted to determine whether workers reach their leader. A
-// worker that does not is redirected by a peer about every 5 s (PROTOCOL: 4 s without a response,
-// 1 s until it tries the next controller), so it is counted within the window. Far below a worker
-// lease.
+// worker that does not reach it is redirected by a peer about every 5 s (PROTOCOL: 4 s without a
+// response, 1 s until it tries the next controller), so it is counted within the window. Far below
+// a worker lease.
 inline constexpr Seconds reachability_window{6.0};
 // A leader resigns when the heartbeats that peers redirect to it exceed this multiple of those that
 // it receives directly. A fault of one zone or of some machines does not reach this ratio.
@@ -112,9 +112,9 @@
 // (PROTOCOL: the interval varies by a quarter).
 inline constexpr double max_heartbeat_interval_factor = 1.25;
 // Fewest machines for which missing heartbeats are evidence that workers do not reach the leader,
-// and fewest heartbeats redirected by peers in `reachability_window` that are evidence of it. Not
-// more: in a small fleet the worker leases would expire while its leader waits for the peers'
-// counts.
+// and fewest heartbeats redirected by peers in `reachability_window` that are evidence of it. With
+// a higher value, the worker leases of a small fleet would expire while its leader waits for the
+// peers' counts.
 inline constexpr std::size_t reachability_min_machines = 3;
 // Seconds for which a controller that has resigned does not campaign, unless workers reach it.
 inline constexpr Seconds resign_cooldown{30.0};
@@ -242,9 +242,9 @@
 // Shortest time in seconds between plans; a plan uses processor time that heartbeats need too.
 inline constexpr Seconds min_plan_interval{0.2};
 // Seconds; in the first `gang_reservation_time` of each `gang_reservation_period` since the
-// submission of a gang that does not fit, free capacity is reserved for it. Within 40 s, tasks of
-// half a minute free enough of it. Single tasks, which may not wait 90 s beside free capacity, are
-// placed in the rest of the period.
+// submission of a gang that does not fit, free capacity is reserved for it. Within 40 s, tasks that
+// run for half a minute free enough of it. Single tasks are placed in the rest of the period, since
+// no task may wait for 90 s while there is free capacity for it.
 inline constexpr Seconds gang_reservation_time{40.0};
 inline constexpr Seconds gang_reservation_period{55.0};
 // Fraction of the gang assembly timeout within which a lost task is replaced; after that, a new
@@ -264,7 +264,8 @@
 // second target at 1.5 times the first.
 inline constexpr double overdue_target_factor = 1.5;
 // Seconds that an array's first task waits before it is placed in any free capacity, even where its
-// image must be fetched: half of the 90 s that no task may wait beside free capacity.
+// image must be fetched: half of the 90 s for which no task may wait while there is free capacity
+// for it.
 inline constexpr Seconds max_first_task_wait{45};
 // Seconds that an array waits before its first tasks precede all other arrays: PROTOCOL requires
 // even the largest array to begin within 240 s.
@@ -286,7 +287,8 @@
 inline constexpr double boot_earliest_share = 0.6;
 inline constexpr double boot_latest_share = 1.5;
 // Seconds after its submission until which a replica may wait for a booting machine: half of the
-// 90 s after which waiting beside free capacity counts as a fault, and an allowance for the fetch.
+// 90 s for which no task may wait while there is free capacity for it, plus an allowance for the
+// fetch.
 inline constexpr Seconds max_boot_wait{55};
 // Tolerance of LABL's comparisons, so that rounding does not raise a sum of loads above a limit.
 inline constexpr double labl_rounding_slack = 1e-9;
@@ -306,7 +308,7 @@
 // is cut off may return with its cached images.
 inline constexpr Seconds silence_grace{90.0};
 // Seconds for which the fleet keeps capacity for a peak in demand after the demand has dropped,
-// since deleting a machine costs at least 60 s of rent. Default of the property
+// since releasing a machine costs at least 60 s of rent. Default of the property
 // `fleet.idle-keep-s`.
 inline constexpr Seconds idle_capacity_retention{40.0};
 // Multiple of the peak demand of the last `idle_capacity_retention` for which capacity is kept, to
@@ -328,8 +330,8 @@
 // Failures in a row, of at least two different jobs, after which a machine is quarantined.
 inline constexpr int quarantine_failures = 3;
 // Seconds; first and longest pause before tasks of a job that fails on every machine are tried
-// again. The longest leaves time to find a machine within the 90 s after which waiting counts as a
-// fault.
+// again. The longest leaves time to find a machine within the 90 s for which no task may wait while
+// there is free capacity for it.
 inline constexpr Seconds initial_retry_pause{1.0};
 inline constexpr Seconds max_retry_pause{45.0};
 // Tasks that a job that fails on every machine may have placed at once: enough to detect that it
--- a/src/coordination/leader/failover_recovery.cpp
+++ b/src/coordination/leader/failover_recovery.cpp
@@ -63,8 +63,8 @@
 // later than this controller's election: a former leader whose shared state or peer statuses
 // include the election steps down. Responses that this controller has sent since then extend leases
 // by `worker_lease`, which is shorter than `cancel_timeout`. From now on no controller extends a
-// worker lease, since this one rejects heartbeats and the others redirect them. So no task runs
-// after the wait.
+// worker lease, since this controller rejects heartbeats and the other controllers redirect them.
+// So no task runs after the wait.
 void FailoverRecovery::wait_for_lease_expiry() {
   spdlog::error("journal unreadable, waiting for all worker leases to expire seconds={}",
                 settings_.cancel_timeout.count());
--- a/src/coordination/leader/job_finalizer.cpp
+++ b/src/coordination/leader/job_finalizer.cpp
@@ -89,8 +89,9 @@
   }
 }
 
-// Jobs whose record has changed are queued by a later sweep: their final record can be written only
-// after the watch has delivered the new version.
+// Queues the jobs again after a failed transaction, except those whose record has changed: their
+// final record can be written only after the watch has delivered the new version, so the next sweep
+// queues them.
 void JobFinalizer::retry_later(const std::vector<std::string>& jobs,
                                const TransactionResult& result) {
   next_write_at_ = runtime_.now() + constants::state_retry_pause;
--- a/src/planning/planner.hpp
+++ b/src/planning/planner.hpp
@@ -32,9 +32,9 @@
 
 /// Why a gang has to wait.
 enum class GangWaitReason : std::uint8_t {
-  team_limit,              // its tasks together exceed the remaining quota of its team
-  insufficient_resources,  // no zone was found to have, or to free by preemption, enough
-  resources_being_freed,   // other tasks are stopping, and their resources are reserved for it
+  team_limit,              // The gang needs more than the remaining quota of its team.
+  insufficient_resources,  // No zone has enough resources, even with preemptions.
+  resources_being_freed,   // Other tasks are stopping; their resources are reserved.
 };
 /// The reason as a text for the log.
 const char* to_string(GangWaitReason reason);
--- a/src/protocol/peer_messages.cpp
+++ b/src/protocol/peer_messages.cpp
@@ -13,7 +13,7 @@
 // Top-level items of a status: the version, ten single values, the list of job counts and the list
 // of cancelled jobs.
 constexpr std::size_t status_fields = 13;
-// Items per job in the list of job counts, which has no nested lists.
+// Items per job in the flat list of job counts: the job id and two counts.
 constexpr std::size_t fields_per_count = 3;
 
 CborArrayWriter encode_counts(const std::vector<JobCounts>& counts) {
--- a/src/storage/journal_entry.hpp
+++ b/src/storage/journal_entry.hpp
@@ -39,7 +39,7 @@
   std::string type;
   std::string zone;
   bool spot = false;
-  std::uint64_t incarnation = 0;  // The newest known; 0: no heartbeat was received.
+  std::uint64_t incarnation = 0;  // The newest known incarnation; 0 before any heartbeat.
   WallTime rented_at;
 };
 
--- a/tests/unit/gang_placement_test.cpp
+++ b/tests/unit/gang_placement_test.cpp
@@ -88,7 +88,8 @@
     cluster_state.place(cluster_state.machines.at("a1"), cluster_state.jobs.at("req-9"), 1,
                         steady_at(0));
   EXPECT_TRUE(plan().placements.empty());
-  // In the rest of the period nothing is reserved, so that single tasks are placed.
+  // After the first part of the reservation period, nothing is reserved and single tasks are
+  // placed.
   gang.record.accepted_at = wall_at(-50);
   EXPECT_FALSE(plan().placements.empty());
 }
