--- a/src/coordination/journal/journal_reader.cpp
+++ b/src/coordination/journal/journal_reader.cpp
@@ -78,7 +78,7 @@
         if (status != CallStatus::ok) return retry(done);
         if (page.entries.empty()) return done(std::move(journal));
         spdlog::error(
-            "journal unreadable, placement records of the first storage format found records={}",
+            "journal unreadable, found placement records in the legacy storage format records={}",
             page.entries.size());
         UnreadableJournal unreadable{std::move(journal.versions)};
         add_versions(unreadable.versions, page);
--- a/src/coordination/journal/snapshot_schedule.cpp
+++ b/src/coordination/journal/snapshot_schedule.cpp
@@ -55,7 +55,7 @@
 void SnapshotSchedule::on_head_committed() {
   head_ = *next_head_;
   next_head_.reset();
-  spdlog::debug("journal snapshot generation={} chunks={} bytes={}", head_.generation,
+  spdlog::debug("journal snapshot committed generation={} chunks={} bytes={}", head_.generation,
                 head_.snapshot_chunks, snapshot_bytes_);
 }
 
--- a/src/coordination/leader/heartbeat_handler.cpp
+++ b/src/coordination/leader/heartbeat_handler.cpp
@@ -75,7 +75,7 @@
   if (machine.incarnation != 0) {
     health_.evaluate_incarnation(machine);
     // A worker kills all its tasks when its incarnation ends.
-    reconciler_.evict_all(machine, "new incarnation");
+    reconciler_.evict_all(machine, "its worker began a new incarnation");
     if (machine.has_acknowledged_token &&
         now - machine.last_response_at <
             settings_.worker_lease - constants::worker_response_timeout)
--- a/src/coordination/leader/leader.cpp
+++ b/src/coordination/leader/leader.cpp
@@ -149,7 +149,7 @@
   const auto machines = static_cast<double>(cluster_state_.machines.size());
   if (machines <= connections || std::exchange(warned_of_fleet_size_, true)) return;
   spdlog::error(
-      "sockets: {} allows {:.0f} connections for workers and users, fewer than the {} machines",
+      "socket limit too low for the fleet sockets={} incoming_connections={:.0f} machines={}",
       settings_.sockets, connections, machines);
 }
 
--- a/src/coordination/leader/machine_health.cpp
+++ b/src/coordination/leader/machine_health.cpp
@@ -57,7 +57,7 @@
   }
   if (!any_placement([](const Placement& each) { return each.start_incarnation != 0; })) return;
   if (++machine.incarnations_without_start >= constants::max_unacknowledged_starts)
-    mark_unresponsive(machine, "incarnations ended without acknowledging any start");
+    mark_unresponsive(machine, "incarnations ended without acknowledging any start command");
 }
 
 void MachineHealth::record_failure(Machine& machine, const Placement& placement,
--- a/src/coordination/leader/task_reconciler.cpp
+++ b/src/coordination/leader/task_reconciler.cpp
@@ -88,7 +88,7 @@
     if (phase == PlacementPhase::running) {
       ++job->running;
       record_cached_image(machine, *job);
-      spdlog::debug("task runs job={} index={} machine={} after_s={:.1f}", placement.job,
+      spdlog::debug("task running job={} index={} machine={} after_s={:.1f}", placement.job,
                     placement.index, machine.id,
                     (runtime_.now() - placement.phase_started_at).count());
     }
@@ -145,7 +145,7 @@
       remove_placement(machine, placed_task);
     } else if (placed_task.start_incarnation != 0 &&
                ++placed_task.unacknowledged_starts >= constants::max_unacknowledged_starts) {
-      health_.mark_unresponsive(machine, "starts unacknowledged");
+      health_.mark_unresponsive(machine, "start commands unacknowledged");
       remove_placement(machine, placed_task);
     }
   }
