--- a/src/transport/http_client.cpp
+++ b/src/transport/http_client.cpp
@@ -185,7 +185,7 @@
   dispatch_waiting(pool);
 }
 
-std::shared_ptr<HttpClient::Connection> HttpClient::free_connection(Pool& pool) {
+std::shared_ptr<HttpClient::Connection> HttpClient::acquire_connection(Pool& pool) {
   const auto idle = std::find_if(pool.open.begin(), pool.open.end(),
                                  [](const auto& each) { return each->is_idle(); });
   if (idle != pool.open.end()) return *idle;
@@ -199,7 +199,7 @@
       pool.waiting.pop_front();
       continue;
     }
-    const auto connection = free_connection(pool);
+    const auto connection = acquire_connection(pool);
     if (!connection) return;
     auto next = std::move(pool.waiting.front());
     pool.waiting.pop_front();
--- a/src/transport/http_client.hpp
+++ b/src/transport/http_client.hpp
@@ -32,7 +32,7 @@
   /// `constants::client_connections`.
   void dispatch_waiting(Pool& pool);
   /// An idle connection, or a new one; nullptr when the limit is reached.
-  std::shared_ptr<Connection> free_connection(Pool& pool);
+  std::shared_ptr<Connection> acquire_connection(Pool& pool);
   /// Removes the connection from its pool, and assigns the calls that still wait in a later
   /// iteration of the event loop.
   void on_closed(Pool& pool, const Connection* connection);
