--- a/src/planning/labl.cpp
+++ b/src/planning/labl.cpp
@@ -73,10 +73,10 @@
 
   /// Shifts the loads so that the least loaded server starts at 0, as the paper assumes (3.1).
   void normalise_loads(const std::vector<LablServer>& servers) {
-    double least = std::numeric_limits<double>::max();
-    for (const auto& input : servers) least = std::min(least, input.load);
+    double min_load = std::numeric_limits<double>::max();
+    for (const auto& input : servers) min_load = std::min(min_load, input.load);
     plan_.load.reserve(servers.size());
-    for (const auto& input : servers) plan_.load.push_back(input.load - least);
+    for (const auto& input : servers) plan_.load.push_back(input.load - min_load);
   }
 
   /// Phase I: servers below the limit, but not by enough for a remote task, are filled with local
@@ -140,15 +140,15 @@
   /// The least limit that allows another assignment; nothing when no server may run any of the
   /// unassigned tasks.
   std::optional<double> least_sufficient_limit() {
-    std::optional<double> least;
+    std::optional<double> min_load;
     for (std::size_t job = 0; job < jobs_.size(); ++job) {
       if (jobs_[job].task_count == 0) continue;
       const auto server = best_server(job);
       if (!server) continue;
       const double load = plan_.load[*server] + task_cost(job, *server);
-      if (!least || load < *least) least = load;
+      if (!min_load || load < *min_load) min_load = load;
     }
-    return least;
+    return min_load;
   }
 
   double task_cost(std::size_t job, std::size_t server) const {
--- a/src/planning/labl_lower_bound.cpp
+++ b/src/planning/labl_lower_bound.cpp
@@ -27,10 +27,11 @@
 /// The load of the least loaded server that may run the job and has its image; more than any limit
 /// when there is none.
 double least_local_load(const LablJob& job, const std::vector<double>& load) {
-  double least = std::numeric_limits<double>::max();
+  double min_load = std::numeric_limits<double>::max();
   for (std::size_t server = 0; server < load.size(); ++server)
-    if (job.has_image[server] && job.local_cost[server] > 0) least = std::min(least, load[server]);
-  return least;
+    if (job.has_image[server] && job.local_cost[server] > 0)
+      min_load = std::min(min_load, load[server]);
+  return min_load;
 }
 
 /// The number of tasks that can only run remotely under `limit` (the paper's T_rem), and the least
--- a/src/protocol/properties.cpp
+++ b/src/protocol/properties.cpp
@@ -60,10 +60,10 @@
 /// The known key most similar to `key`, as a hint in the error about an unknown key.
 std::string nearest_key(const std::string& key) {
   std::string best;
-  std::size_t least = std::numeric_limits<std::size_t>::max();
+  std::size_t min_distance = std::numeric_limits<std::size_t>::max();
   for (const auto& [name, rule] : property_rules()) {
-    if (const auto distance = edit_distance(key, name); distance < least) {
-      least = distance;
+    if (const auto distance = edit_distance(key, name); distance < min_distance) {
+      min_distance = distance;
       best = name;
     }
   }
--- a/src/protocol/settings.cpp
+++ b/src/protocol/settings.cpp
@@ -148,10 +148,10 @@
   if (out.state_limits.txn_ops < constants::min_txn_ops)
     throw DecodeError::expected(max_changes_field,
                                 "at least " + std::to_string(constants::min_txn_ops));
-  const auto least = constants::min_own_sockets + 2 * out.peers.size() + 1;
-  if (out.sockets < static_cast<double>(least))
+  const auto min_sockets = constants::min_own_sockets + 2 * out.peers.size() + 1;
+  if (out.sockets < static_cast<double>(min_sockets))
     throw DecodeError::expected(sockets_field,
-                                "at least " + std::to_string(least) +
+                                "at least " + std::to_string(min_sockets) +
                                     " sockets for calls to other services, connections to the "
                                     "siblings and one worker");
 }
--- a/src/protocol/submission.cpp
+++ b/src/protocol/submission.cpp
@@ -66,9 +66,9 @@
 
 /// Reads the resources of one task, which must include some CPU.
 Resources need_task_resources(const Json& body) {
-  const Resources each = parse_resources(body, max_task_amount);
-  if (each.cpus <= 0) throw DecodeError(wire::cpus, "out of range");
-  return each;
+  const Resources resources = parse_resources(body, max_task_amount);
+  if (resources.cpus <= 0) throw DecodeError(wire::cpus, "out of range");
+  return resources;
 }
 
 }  // namespace
