--- a/src/planning/planner.hpp
+++ b/src/planning/planner.hpp
@@ -33,8 +33,8 @@
 /// Why a gang has to wait.
 enum class GangWaitReason : std::uint8_t {
   team_limit,              // The gang needs more than the remaining quota of its team.
-  insufficient_resources,  // No zone has enough resources, even with preemptions.
-  resources_being_freed,   // Other tasks are stopping; their resources are reserved.
+  insufficient_resources,  // No zone was found with enough resources, even with preemptions.
+  resources_being_freed,   // Other tasks are stopping; their resources are reserved for the gang.
 };
 /// The reason as a text for the log.
 const char* to_string(GangWaitReason reason);
--- a/src/storage/records.hpp
+++ b/src/storage/records.hpp
@@ -29,7 +29,7 @@
 inline const std::string journal_head = "journal/head";
 inline const std::string journal_segments = "journal/log/";
 inline const std::string journal_snapshots = "journal/snap/";
-// Used by the first version, which stored one record for each machine.
+// Used by the legacy storage format, which has one record for each machine.
 inline const std::string legacy_machines = "machine/";
 }  // namespace keys
 
