--- a/src/coordination/fleet/scale_in.cpp
+++ b/src/coordination/fleet/scale_in.cpp
@@ -17,7 +17,7 @@
     case ReleaseReason::boot_timed_out:
       return "boot timed out";
     case ReleaseReason::silent:
-      return "no heartbeat within the grace period after its lease";
+      return "silent";
     case ReleaseReason::unresponsive:
       return "unresponsive";
     case ReleaseReason::quarantined:
