--- a/src/cluster/job.hpp
+++ b/src/cluster/job.hpp
@@ -61,8 +61,8 @@
   /// fails on every machine only so many that at most `max_retrying_tasks` are placed.
   std::uint32_t schedulable_tasks() const;
 
-  /// Clears the recorded failures. Called when a task of the job has finished, or has run longer
-  /// than the failed ones without failing itself.
+  /// Clears the recorded failures. Called when a task of the job has finished, or has run for
+  /// more than twice `longest_failed_run`.
   void reset_failures();
 
   /// Marks the next waiting task as placed on the machine and returns its index. At least one task
--- a/src/constants.hpp
+++ b/src/constants.hpp
@@ -275,12 +275,12 @@
 inline constexpr std::uint32_t starved_array_divisor = 20;
 // Searches for tasks to preempt in one plan; each search scans all machines.
 inline constexpr int max_preemption_searches = 20;
-// Startup delay, in heartbeat intervals, that a replica accepts to run on a machine that runs only
-// services rather than on one without any: enough to pack replicas together, too little to wait for
-// a fetch.
+// Additional startup delay, in heartbeat intervals, that a replica accepts in order to run on a
+// machine that runs only services rather than on one without services: enough to pack replicas
+// together, too little to wait for a fetch.
 inline constexpr double service_packing_heartbeats = 1.0;
-// Startup delay, in heartbeat intervals, that a replica accepts to run in a zone with none of its
-// class's replicas rather than in one with all of them.
+// Additional startup delay, in heartbeat intervals, that a replica accepts in order to run in a
+// zone with none of its class's replicas rather than in one with all of them.
 inline constexpr double zone_spread_heartbeats = 2.0;
 // Fractions of a type's usual boot time between which a machine is expected to finish booting
 // (PROTOCOL: usually 0.6 to 1.5).
--- a/src/planning/array_placement.hpp
+++ b/src/planning/array_placement.hpp
@@ -42,8 +42,8 @@
  private:
   using TaskCounts = std::map<std::string, std::uint32_t>;  // by job id
 
-  /// Places one batch, and adds the numbers of its tasks to `batched_by_job`, which has the numbers
-  /// of tasks in earlier batches. Returns false when no task could be added to the batch.
+  /// Places one batch. `batched_by_job` holds the number of each job's tasks in the earlier batches
+  /// of this plan; the tasks of this batch are added. Returns false if the batch has no tasks.
   bool place_batch(const std::vector<const cluster::Job*>& jobs,
                    std::map<const cluster::Job*, std::uint32_t>& batched_by_job);
   /// Places one task on the machine with the least fetch time among those where it fits. Returns
--- a/src/planning/job_order.hpp
+++ b/src/planning/job_order.hpp
@@ -19,7 +19,9 @@
 /// the earlier time.
 struct SchedulingKey {
   DeadlineStatus status = DeadlineStatus::attainable;
-  WallTime time;  // latest start that is in time if attainable; submission if missed
+  // If attainable, the latest start from which the array finishes in time; if missed, its
+  // submission.
+  WallTime time;
 };
 
 /// Orders the jobs of one plan.
--- a/src/planning/machine_slot.cpp
+++ b/src/planning/machine_slot.cpp
@@ -30,7 +30,7 @@
   return before_run && !machine.has_cached(job.image);
 }
 
-/// Adds a placement that the machine has already to the slot's counts. `job` is null if the cluster
+/// Adds one of the machine's existing placements to the slot's counts. `job` is null if the cluster
 /// state no longer has the placement's job.
 void count_placement(MachineSlot& slot, const Placement& placement, const Job* job,
                      ReplicaZones& replicas) {
--- a/src/planning/planner.cpp
+++ b/src/planning/planner.cpp
@@ -23,9 +23,9 @@
 /// Jobs with tasks that may be placed now.
 struct SchedulableJobs {
   std::vector<const Job*> services;
-  std::vector<const Job*> starved_arrays;  // of every priority
+  std::vector<const Job*> starved_arrays;  // Starved arrays of all priorities.
   JobsByPriority gangs;
-  JobsByPriority arrays;  // without the starved ones
+  JobsByPriority arrays;  // All other arrays.
 
   bool is_empty() const {
     return services.empty() && starved_arrays.empty() && gangs.empty() && arrays.empty();
--- a/tests/simulation/cloud.cpp
+++ b/tests/simulation/cloud.cpp
@@ -10,7 +10,7 @@
 using protocol::Json;
 
 namespace {
-constexpr Seconds failure_detection{30};  // until a failed machine is listed as failed
+constexpr Seconds failure_detection{30};  // Time until a failed machine is listed as failed.
 constexpr double min_boot_factor = 0.6, max_boot_factor = 1.5;  // multiples of the type's boot time
 constexpr double min_lag_factor = 0.5, max_lag_factor = 2;      // multiples of the list lag
 
--- a/tests/simulation/controller_process.cpp
+++ b/tests/simulation/controller_process.cpp
@@ -14,17 +14,18 @@
 using transport::HttpResponse;
 
 namespace {
-constexpr double max_clock_drift = 0.0005;                 // the bound in PROTOCOL, as a fraction
-constexpr double max_wall_offset_s = 0.1;                  // the bound in PROTOCOL
-constexpr SteadyTime steady_start{Seconds{1000}};          // arbitrary
-constexpr WallTime wall_start{Seconds{1.7e9}};             // arbitrary
-constexpr Seconds timer_granularity{0.0005};               // added to the delay of every timer
-constexpr Seconds rejection_delay{0.003};                  // from the call to its 503
-constexpr Seconds min_latency{0.001}, max_latency{0.004};  // one way
+constexpr double max_clock_drift = 0.0005;         // the bound in PROTOCOL, as a fraction
+constexpr double max_wall_offset_s = 0.1;          // the bound in PROTOCOL
+constexpr SteadyTime steady_start{Seconds{1000}};  // arbitrary
+constexpr WallTime wall_start{Seconds{1.7e9}};     // arbitrary
+constexpr Seconds timer_granularity{0.0005};       // added to the delay of every timer
+constexpr Seconds rejection_delay{0.003};          // Time from a rejected call to its 503 response.
+constexpr Seconds min_latency{0.001}, max_latency{0.004};  // One-way latency.
 constexpr double slow_packet_share = 0.01;
 constexpr Seconds slow_packet_latency{0.3};
 constexpr Seconds peer_latency{0.002};
-constexpr Seconds min_write_delay{2}, max_write_delay{12};  // of a delayed write
+constexpr Seconds min_write_delay{2},
+    max_write_delay{12};  // Bounds of the delay of a delayed write.
 
 void ignore_response(const HttpResponse&) {}
 }  // namespace
--- a/tests/simulation/controller_process.hpp
+++ b/tests/simulation/controller_process.hpp
@@ -98,8 +98,8 @@
   const protocol::Settings settings_;
   const protocol::Properties properties_;
   int number_;
-  double clock_rate_;    // of the steady clock, relative to simulated time
-  Seconds wall_offset_;  // of the wall clock, from simulated time
+  double clock_rate_;    // Rate of the steady clock relative to simulated time.
+  Seconds wall_offset_;  // Offset of the wall clock from simulated time.
   NetworkPartition partition_;
   std::vector<std::function<void()>> held_messages_;
   bool paused_ = false;
--- a/tests/simulation/fault_injector.cpp
+++ b/tests/simulation/fault_injector.cpp
@@ -6,7 +6,7 @@
 namespace poppystile::simulation {
 
 namespace {
-constexpr int max_hanging_machines = 8;  // in hang_machines with a set of machines
+constexpr int max_hanging_machines = 8;  // Limit for hang_machines with a set of machines.
 // A controller must not be destroyed while one of its methods runs.
 constexpr Seconds crash_delay{0.0001};
 }  // namespace
--- a/tests/simulation/heartbeat_network.cpp
+++ b/tests/simulation/heartbeat_network.cpp
@@ -8,7 +8,7 @@
 using transport::HttpResponse;
 
 namespace {
-constexpr Seconds min_latency{0.0005}, max_latency{0.003};  // one way
+constexpr Seconds min_latency{0.0005}, max_latency{0.003};  // One-way latency.
 
 HttpRequest heartbeat_request(const std::string& body) { return {"POST", "/agent/beat", body}; }
 void ignore_response(const HttpResponse&) {}
--- a/tests/simulation/invariant_checker.hpp
+++ b/tests/simulation/invariant_checker.hpp
@@ -164,10 +164,11 @@
   // Simulated times, by job.
   std::map<std::string, double> submitted_at_;
   std::map<std::string, double> first_started_at_;
-  std::map<std::string, double> cancelled_at_;  // when the user got the confirmation
+  std::map<std::string, double> cancelled_at_;  // Time of the confirmation to the user.
   std::map<std::string, double> last_response_at_;
   std::map<std::string, double> last_queried_at_;  // time of the newest query
-  std::map<std::string, double> waiting_since_;    // while there is capacity for the job
+  std::map<std::string, double>
+      waiting_since_;  // Start of the wait while there is capacity for the job.
   std::function<void(const std::string&)> on_job_completed_;
   double faults_until_ = 0;
   std::vector<std::string> violations_;
--- a/tests/simulation/simulated_users.cpp
+++ b/tests/simulation/simulated_users.cpp
@@ -16,8 +16,9 @@
 constexpr Seconds poll_interval{5};
 constexpr double finished_poll_factor = 10;  // multiple of poll_interval for finished jobs
 constexpr Seconds retry_delay{1};
-constexpr Seconds connect_timeout{0.5};  // until a call fails if no controller can be reached
-constexpr Seconds latency{0.002};        // one way
+constexpr Seconds connect_timeout{
+    0.5};                          // Time after which a call fails if no controller is reachable.
+constexpr Seconds latency{0.002};  // One-way latency.
 constexpr Seconds max_cancel_delay{0.01};
 constexpr Seconds unusual_request_interval{0.4};
 constexpr int unusual_request_kinds = 3;
--- a/tests/simulation/simulated_users.hpp
+++ b/tests/simulation/simulated_users.hpp
@@ -63,7 +63,7 @@
   InvariantChecker& invariants_;
   ControllerCluster& cluster_;
   OnCancellationConfirmed on_cancellation_confirmed_;
-  std::map<std::string, std::string> bodies_;  // of submissions, by job
+  std::map<std::string, std::string> bodies_;  // Bodies of submissions by job.
   std::set<std::string> cancelling_;
   std::set<std::string> finished_;
   double cancel_on_completion_share_ = 0;
--- a/tests/simulation/task_runner.cpp
+++ b/tests/simulation/task_runner.cpp
@@ -8,7 +8,7 @@
 namespace poppystile::simulation {
 
 namespace {
-constexpr Seconds failure_delay{0.5};  // from the start of a failing task to its exit
+constexpr Seconds failure_delay{0.5};  // Time from the start of a failing task to its exit.
 constexpr double wake_up_delay_s = 0.01;
 constexpr double min_run_factor = 0.6, max_run_factor = 1.4;  // multiples of the estimated run time
 constexpr double min_fetch_factor = 0.8, max_fetch_factor = 1.3;  // multiples of the fetch time
--- a/tests/unit/http_server_test.cpp
+++ b/tests/unit/http_server_test.cpp
@@ -29,8 +29,8 @@
   Client(const Client&) = delete;
   Client& operator=(const Client&) = delete;
 
-  /// Sends a request and runs the loop. Whether a response arrives; false if the server has closed
-  /// the connection.
+  /// Sends a request and runs the loop. Returns whether a response arrives; false if the server has
+  /// closed the connection.
   bool gets_response(EventLoop& loop, const std::string& path) const {
     const std::string request = "GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n";
     ::send(socket_, request.data(), request.size(), MSG_NOSIGNAL);
--- a/tests/unit/machine_slot_test.cpp
+++ b/tests/unit/machine_slot_test.cpp
@@ -88,7 +88,7 @@
 }
 
 TEST_F(MachineSlotTest, ABootingMachineIsExpectedMidwayThroughTheRangeOfItsBootTime) {
-  machine.boot_time = Seconds{30};  // up 18 s to 45 s after the rental
+  machine.boot_time = Seconds{30};  // Expected to be up 18 s to 45 s after the rental.
   machine.rented_at = wall_at(100);
   EXPECT_DOUBLE_EQ(make_booting_slot(machine, wall_at(100))->ready_in.count(), 31.5);
   EXPECT_DOUBLE_EQ(make_booting_slot(machine, wall_at(125))->ready_in.count(), 10);
--- a/tests/unit/service_placement_test.cpp
+++ b/tests/unit/service_placement_test.cpp
@@ -51,7 +51,7 @@
   EXPECT_EQ(placement_count(), 1u);
   context.wall_now = wall_at(44);  // expected to be up within 1 s
   EXPECT_EQ(placement_count(), 0u);
-  context.wall_now = wall_at(46);  // overdue: it is not waited for
+  context.wall_now = wall_at(46);  // The machine is overdue, so no replica waits for it.
   EXPECT_EQ(placement_count(), 4u);
   booting.rented_at = context.wall_now = WallTime{constants::max_boot_wait + Seconds{1}};
   EXPECT_EQ(placement_count(), 4u);  // the jobs have waited longer than max_boot_wait
