--- a/src/coordination/state/key_value_client.cpp
+++ b/src/coordination/state/key_value_client.cpp
@@ -69,7 +69,7 @@
   TransactionResult result;
   result.status = status_of(response);
   if (result.status == CallStatus::invalid) {
-    if (protocol::names_expired_lease(response.body)) result.status = CallStatus::lease_expired;
+    if (protocol::reports_expired_lease(response.body)) result.status = CallStatus::lease_expired;
     spdlog::error("transaction refused response=\"{}\"",
                   response.body.substr(0, max_logged_body_bytes));
   }
--- a/src/protocol/state_messages.cpp
+++ b/src/protocol/state_messages.cpp
@@ -130,7 +130,7 @@
   return out;
 }
 
-bool names_expired_lease(const std::string& body) {
+bool reports_expired_lease(const std::string& body) {
   return body.find(unknown_lease_text) != std::string::npos;
 }
 
--- a/src/protocol/state_messages.hpp
+++ b/src/protocol/state_messages.hpp
@@ -84,7 +84,7 @@
 std::vector<std::string> parse_failed_keys(const std::string& body);
 /// Whether the body of a response with status 400 reports an expired lease. Every other 400 means
 /// that the request itself is invalid.
-bool names_expired_lease(const std::string& body);
+bool reports_expired_lease(const std::string& body);
 Entry parse_entry(const std::string& body);
 EntryPage parse_entries(const std::string& body);
 WatchPage parse_watch(const std::string& body);
