--- a/src/planning/job_order.cpp
+++ b/src/planning/job_order.cpp
@@ -40,10 +40,10 @@
 
 SchedulingKey JobOrder::make_key(const Job& job) const {
   const WallTime submitted = job.record.accepted_at;
-  const Seconds allowed =
+  const Seconds time_limit =
       constants::overdue_target_factor * completion_target(job.spec(), *context_.finish_objectives)
                                              .value_or(constants::default_completion_target);
-  const WallTime latest_start = submitted + allowed - expected_run_time(job.spec());
+  const WallTime latest_start = submitted + time_limit - expected_run_time(job.spec());
   if (context_.wall_now <= latest_start) return {DeadlineStatus::attainable, latest_start};
   return {DeadlineStatus::missed, submitted};
 }
