--- a/tests/simulation/controller_process.cpp
+++ b/tests/simulation/controller_process.cpp
@@ -24,8 +24,8 @@
 constexpr double slow_packet_share = 0.01;
 constexpr Seconds slow_packet_latency{0.3};
 constexpr Seconds peer_latency{0.002};
-constexpr Seconds min_write_delay{2},
-    max_write_delay{12};  // Bounds of the delay of a delayed write.
+// Bounds of the delay of a delayed write.
+constexpr Seconds min_write_delay{2}, max_write_delay{12};
 
 void ignore_response(const HttpResponse&) {}
 }  // namespace
--- a/tests/simulation/invariant_checker.hpp
+++ b/tests/simulation/invariant_checker.hpp
@@ -167,8 +167,8 @@
   std::map<std::string, double> cancelled_at_;  // Time of the confirmation to the user.
   std::map<std::string, double> last_response_at_;
   std::map<std::string, double> last_queried_at_;  // time of the newest query
-  std::map<std::string, double>
-      waiting_since_;  // Start of the wait while there is capacity for the job.
+  // Start of the wait while there is capacity for the job.
+  std::map<std::string, double> waiting_since_;
   std::function<void(const std::string&)> on_job_completed_;
   double faults_until_ = 0;
   std::vector<std::string> violations_;
--- a/tests/simulation/simulated_users.cpp
+++ b/tests/simulation/simulated_users.cpp
@@ -16,8 +16,8 @@
 constexpr Seconds poll_interval{5};
 constexpr double finished_poll_factor = 10;  // multiple of poll_interval for finished jobs
 constexpr Seconds retry_delay{1};
-constexpr Seconds connect_timeout{
-    0.5};                          // Time after which a call fails if no controller is reachable.
+// Time after which a call fails if no controller is reachable.
+constexpr Seconds connect_timeout{0.5};
 constexpr Seconds latency{0.002};  // One-way latency.
 constexpr Seconds max_cancel_delay{0.01};
 constexpr Seconds unusual_request_interval{0.4};
