--- a/src/coordination/fleet/catalog_updater.cpp
+++ b/src/coordination/fleet/catalog_updater.cpp
@@ -63,7 +63,7 @@
       transaction, RequestPriority::user, [this, value](const TransactionResult& result) {
         if (result.status == CallStatus::ok)
           return shared_state_.apply_response(storage::keys::catalog, value, result.revision);
-        fetched_at_ = {};  // A fetch is due again, which retries the recording.
+        fetched_at_ = {};  // Makes a fetch due; after it, the catalog is recorded again.
       });
 }
 
--- a/src/coordination/state/key_value_client.hpp
+++ b/src/coordination/state/key_value_client.hpp
@@ -123,7 +123,7 @@
   TokenBucket request_bucket_;
   TokenBucket write_bucket_;
   std::array<std::deque<Call>, priority_count> waiting_calls_;
-  bool is_timer_set_ = false;  // A timer is set that sends waiting calls.
+  bool is_timer_set_ = false;  // Whether the timer that sends waiting calls is set.
   SteadyTime last_contact_;
   WallTime last_contact_wall_;
   SteadyTime answered_request_sent_at_;
--- a/src/planning/autoscaler/scale_in_policy.cpp
+++ b/src/planning/autoscaler/scale_in_policy.cpp
@@ -65,8 +65,8 @@
   std::vector<Candidate> candidates;
   for (auto& bin : bins_) {
     if (bin.machine == nullptr || !bin.machine->has_reported) continue;
-    const bool is_needed = bin.free_resources.cpus != bin.machine->free_resources().cpus;
-    if (!is_needed) candidates.push_back({&bin, price_per_cpu(*bin.machine)});
+    const bool has_reservations = bin.free_resources.cpus != bin.machine->free_resources().cpus;
+    if (!has_reservations) candidates.push_back({&bin, price_per_cpu(*bin.machine)});
   }
   const auto sort_key = [](const Candidate& candidate) {
     return std::make_tuple(candidate.bin->service_cpus, -candidate.price_per_cpu,
--- a/src/planning/job_order.hpp
+++ b/src/planning/job_order.hpp
@@ -30,8 +30,9 @@
   /// Both arguments must outlive this object, and not change during its lifetime.
   JobOrder(const cluster::ClusterState& cluster_state, const PlanningContext& context);
 
-  /// Computes the scheduling key of an array, which `before` uses. The lists that `before` sorts
-  /// have either only jobs with a key or only jobs without one.
+  /// Computes the scheduling key of an array, which `before` uses. In a list that is sorted
+  /// by `before`, either all jobs or none must have a key, since the order is not transitive
+  /// otherwise.
   void add_array(const cluster::Job& job);
 
   /// Strict weak order: the higher priority first, then guaranteed jobs, then the lesser scheduling
--- a/src/storage/journal_codec.cpp
+++ b/src/storage/journal_codec.cpp
@@ -50,8 +50,8 @@
 IndexRange range_at(const Json& stored_range, std::size_t position) {
   if (!stored_range.is_array() || stored_range.size() != position + 2)
     throw DecodeError("journal entry has a malformed index range");
-  const auto first = as_count(stored_range[position], "index range");
-  const auto last = as_count(stored_range[position + 1], "index range");
+  const auto first = as_count(stored_range[position], "first index of a range");
+  const auto last = as_count(stored_range[position + 1], "last index of a range");
   if (last < first || last >= constants::max_tasks)
     throw DecodeError(
         "journal entry has an index range that is reversed or exceeds the task limit");
--- a/src/transport/http_client.cpp
+++ b/src/transport/http_client.cpp
@@ -58,7 +58,7 @@
     parser_.data = this;
   }
 
-  bool is_idle() const { return !closing_ && connected_ && !current_; }
+  bool is_idle() const { return !closing_ && connected_ && !current_exchange_; }
   bool is_new() const { return !closing_ && !connected_ && !connecting_; }
 
   void connect() {
@@ -71,8 +71,8 @@
 
   /// Sends the request now, or as soon as the connection is established.
   void send(std::shared_ptr<Exchange> exchange) {
-    current_ = std::move(exchange);
-    current_->connection = this;
+    current_exchange_ = std::move(exchange);
+    current_exchange_->connection = this;
     if (connected_) write_request();
   }
 
@@ -81,7 +81,7 @@
     if (std::exchange(closing_, true)) return;
     const auto self = shared_from_this();  // the pool may hold the only other reference
     stream_.close();
-    auto pending_exchange = std::exchange(current_, nullptr);
+    auto pending_exchange = std::exchange(current_exchange_, nullptr);
     client_.on_closed(pool_, this);
     if (pending_exchange) {
       pending_exchange->connection = nullptr;
@@ -98,11 +98,11 @@
         read_buffer_bytes,
         [self = shared_from_this()](std::string_view data) { self->on_data(data); },
         [self = shared_from_this()] { self->on_end(); });
-    if (current_) write_request();
+    if (current_exchange_) write_request();
   }
 
   void write_request() {
-    if (!stream_.write(encode_request(current_->request, pool_.endpoint))) close();
+    if (!stream_.write(encode_request(current_exchange_->request, pool_.endpoint))) close();
   }
 
   void on_data(std::string_view data) {
@@ -119,7 +119,7 @@
 
   void on_message_complete() {
     const bool keep_alive = http_should_keep_alive(&parser_) != 0;
-    const auto finished = std::exchange(current_, nullptr);
+    const auto finished = std::exchange(current_exchange_, nullptr);
     HttpResponse response{static_cast<int>(parser_.status_code), std::exchange(body_, {})};
     if (finished) finished->connection = nullptr;
     if (!keep_alive || !finished) close();
@@ -149,7 +149,7 @@
   TcpStream stream_;
   http_parser parser_{};
   std::string body_;
-  std::shared_ptr<Exchange> current_;
+  std::shared_ptr<Exchange> current_exchange_;
   bool connecting_ = false;
   bool connected_ = false;
   bool closing_ = false;
--- a/tests/simulation/worker.cpp
+++ b/tests/simulation/worker.cpp
@@ -9,7 +9,8 @@
 namespace {
 constexpr Seconds response_timeout{4};  // PROTOCOL; afterwards the worker tries the next controller
 constexpr Seconds next_controller_delay{1};  // PROTOCOL
-constexpr double min_heartbeat_gap_s = 0.5;  // PROTOCOL: between heartbeats on change
+// PROTOCOL; shortest time from one heartbeat to the next if a change triggers the latter.
+constexpr double min_heartbeat_gap_s = 0.5;
 constexpr Seconds lease_check_interval{0.1};
 constexpr Seconds wake_up_delay{0.01};
 // From a redirect to the heartbeat to the new controller.
--- a/tests/unit/autoscaler_test.cpp
+++ b/tests/unit/autoscaler_test.cpp
@@ -73,8 +73,8 @@
   EXPECT_EQ(rented(), (std::map<std::string, int>{{"slow", 1}}));
 }
 
-// A machine whose boot never finishes is released only after four boot times. If it counted as
-// capacity until then, the tasks planned for it would wait.
+// A machine whose boot never finishes is released only after four boot times plus 30 s. If it
+// counted as capacity until then, the tasks planned for it would wait.
 TEST_F(AutoscalerTwoTypesTest, ReplacesOverdueBootsByAnotherType) {
   context.service_reserve = 0;
   for (int i = 0; i < 4; ++i) add(cluster_state, replica("req-" + std::to_string(i)));
--- a/tests/unit/peer_monitor_test.cpp
+++ b/tests/unit/peer_monitor_test.cpp
@@ -1,4 +1,6 @@
-// Which statuses of peers are accepted, and what is derived from the latest ones.
+// Decoding of peers' statuses, detection of superseded ones, and the queries that the newest
+// statuses answer: whether one is recent, whether a peer reaches the state service, and a job's
+// task counts.
 #include "coordination/peers/peer_monitor.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/unit/planner_test.cpp
+++ b/tests/unit/planner_test.cpp
@@ -173,7 +173,8 @@
   add(cluster_state, "a1", 32);
   add(cluster_state, "b1", 32);
   std::map<std::string, std::map<std::string, int>> zones;
-  // A plan omits tasks that exceed half of the job in a zone; the next one places them elsewhere.
+  // With `spread`, a zone has at most half of the job's tasks, rounded up. Tasks beyond that are
+  // left out of the first plan and placed in the other zone by the second.
   for (int round = 0; round < 2; ++round) {
     const Plan result = plan();
     for (const auto& each : result.placements) ++zones[each.job][each.machine.substr(0, 1)];
