--- a/src/cluster/machine.hpp
+++ b/src/cluster/machine.hpp
@@ -35,7 +35,9 @@
   // The newest heartbeat of its worker.
   std::uint64_t incarnation = 0;  // 0: no heartbeat was received.
   std::uint64_t sequence = 0;
-  SteadyTime incarnation_started_at;  // First heartbeat of the incarnation.
+  // When this leader received the first heartbeat of the incarnation; default if the incarnation
+  // began under a former leader.
+  SteadyTime incarnation_started_at;
   SteadyTime last_heartbeat_at;
 
   // Communication with this leader. `has_reported` and `has_acknowledged_token` are cleared when
--- a/src/constants.hpp
+++ b/src/constants.hpp
@@ -22,8 +22,9 @@
 inline constexpr Seconds server_idle_timeout{75.0};
 // Fraction of the socket limit available to incoming connections. The rest is for outgoing calls.
 inline constexpr double server_socket_share = 0.75;
-// Sockets that a controller needs for itself: two listeners and, for each of the cloud and the
-// state service, at least one connection besides the one that a watch occupies.
+// Sockets that a controller needs besides those for its peers: two listeners, the watch connection
+// to the state service, and at least one more connection to each of the state service and the
+// cloud. The rest is spare.
 inline constexpr std::size_t min_own_sockets = 8;
 // Connections to each remote service: enough to hide its latency, far below any socket limit.
 inline constexpr std::size_t client_connections = 24;
@@ -178,12 +179,13 @@
 // Elements of one stored journal entry, so that a record can be split between entries; fewer where
 // values must be small.
 inline constexpr std::size_t max_journal_entry_elements = 64;
-// Fraction of the state service's changes per second at which the journal sends transactions. At
-// the usual limits this is about one every 0.15 s. The start of a task waits for its transaction.
+// Maximum transactions per second of the journal, as a fraction of the state service's limit on
+// changes per second (`write_rps`). At 44 changes per second that is one transaction every 0.15 s,
+// for which the start of a task waits.
 inline constexpr double journal_rate_share = 0.15;
-// Fraction of the state service's changes per second that the journal may use in total. Where
-// values are small its transactions contain many changes; without this limit the final records,
-// which have a lower priority than the journal, were delayed by minutes.
+// Maximum changes per second of the journal, as a fraction of the same limit. Where values are
+// small its transactions contain many changes; without this limit the final records, which have a
+// lower priority than the journal, were delayed by minutes.
 inline constexpr double journal_change_share = 0.3;
 // Lower bound of the maximum number of snapshot chunks in one transaction. The maximum is higher
 // only where a snapshot could otherwise not be completed before the segments run out, since more
--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -145,7 +145,7 @@
 // Returns the steady time until which this leader may respond to workers; see CancellationTracker.
 SteadyTime Controller::response_deadline() const {
   if (!leader_.ready())
-    return cancellations_.response_deadline_before_replay(election_.elected_at());
+    return cancellations_.response_deadline_before_replay(election_.won_campaign_started_at());
   return cancellations_.response_deadline();
 }
 
--- a/src/coordination/election/leader_election.cpp
+++ b/src/coordination/election/leader_election.cpp
@@ -101,7 +101,7 @@
   lease_ = lease;
   token_ = token;
   version_ = version;
-  elected_at_ = campaign_started_at;
+  won_campaign_started_at_ = campaign_started_at;
   lease_confirmed_at_ = campaign_started_at;
   renewal_sent_at_ = campaign_started_at;
   spdlog::info("leading token={}", token_);
--- a/src/coordination/election/leader_election.hpp
+++ b/src/coordination/election/leader_election.hpp
@@ -42,7 +42,7 @@
   /// controller can be the leader.
   bool has_valid_lease() const;
   /// Steady time at which the last campaign that this controller won began.
-  SteadyTime elected_at() const { return elected_at_; }
+  SteadyTime won_campaign_started_at() const { return won_campaign_started_at_; }
 
   /// Ends this controller's term without deleting the leader key, for example because another
   /// controller holds it. Does nothing if this controller is not the leader. `reason` is logged.
@@ -88,7 +88,7 @@
   std::uint64_t token_ = 0;    // Fencing token of the last term.
   std::uint64_t version_ = 0;  // Version of the leader key as written by this controller.
   SteadyTime lease_confirmed_at_;
-  SteadyTime elected_at_;
+  SteadyTime won_campaign_started_at_;
   SteadyTime renewal_sent_at_;
   SteadyTime cooldown_until_;  // This controller does not campaign before this time.
   std::function<void()> on_elected_;
--- a/src/coordination/journal/journal_writer.cpp
+++ b/src/coordination/journal/journal_writer.cpp
@@ -179,7 +179,9 @@
   if (result.status == CallStatus::invalid)
     return election_.step_down("the state service rejected a journal transaction as invalid");
   if (result.status != CallStatus::conflict) {
-    // The identical transaction is sent again, also if it may have been executed already.
+    // Sends the identical transaction again, although the first one may have been executed: the
+    // repetition then fails with a conflict, and verify_batch_committed() detects that the batch is
+    // already written.
     next_send_at_ = std::max(next_send_at_, runtime_.now() + constants::journal_retry_pause);
     return;
   }
@@ -197,7 +199,8 @@
         if (status != CallStatus::ok) return;  // The next attempt conflicts again.
         const std::string& written = batch_.records().front().value;
         if (!entry || entry->value != Json::parse(written, nullptr, false))
-          return election_.step_down("a journal key holds a value that this leader did not write");
+          return election_.step_down(
+              "a journal key does not hold the value that this leader wrote");
         commit_batch(entry->version);
       }));
 }
--- a/src/coordination/leader/lease_monitor.cpp
+++ b/src/coordination/leader/lease_monitor.cpp
@@ -33,12 +33,12 @@
 // Evicts the tasks of a machine that this leader has neither received a heartbeat from nor
 // responded to, once every lease that a former leader extended has expired. That is within
 // `cancel_timeout` of this controller's election, for the reason given at
-// FailoverRecovery::wait_for_lease_expiry. `elected_at` is the start of the campaign; the lease
-// margins here and in CancellationTracker::response_budget are together longer than a campaign,
-// which the timeouts of its calls limit.
+// FailoverRecovery::wait_for_lease_expiry. The deadline counts from the start of the campaign; the
+// lease margins here and in CancellationTracker::response_budget are together longer than a
+// campaign, which the timeouts of its calls limit.
 void LeaseMonitor::evict_if_former_leases_expired(Machine& machine) {
   const SteadyTime former_leases_expire_at =
-      election_.elected_at() + with_clock_drift(settings_.cancel_timeout);
+      election_.won_campaign_started_at() + with_clock_drift(settings_.cancel_timeout);
   if (machine.has_reported || machine.has_been_answered || machine.placements.empty()) return;
   if (runtime_.now() <= former_leases_expire_at) return;
   reconciler_.evict_all(machine, "no heartbeat, and every former leader's leases have expired");
--- a/src/coordination/peers/cancellation_tracker.cpp
+++ b/src/coordination/peers/cancellation_tracker.cpp
@@ -68,8 +68,9 @@
   return complete_until() + response_budget();
 }
 
-SteadyTime CancellationTracker::response_deadline_before_replay(SteadyTime elected_at) const {
-  return elected_at + response_budget() * constants::response_share_before_replay;
+SteadyTime CancellationTracker::response_deadline_before_replay(
+    SteadyTime won_campaign_started_at) const {
+  return won_campaign_started_at + response_budget() * constants::response_share_before_replay;
 }
 
 // Returns how long after a cancellation that has not reached this leader it may still respond, so
--- a/src/coordination/peers/cancellation_tracker.hpp
+++ b/src/coordination/peers/cancellation_tracker.hpp
@@ -45,9 +45,10 @@
   /// Steady time until which a leader that has replayed the journal may respond to workers. Each
   /// response extends the worker's lease by its full duration.
   SteadyTime response_deadline() const;
-  /// The same limit for a leader elected at `elected_at` that has not replayed the journal yet. Its
-  /// responses extend leases but stop no tasks, not even those cancelled before its election.
-  SteadyTime response_deadline_before_replay(SteadyTime elected_at) const;
+  /// The same limit for a leader that has not replayed the journal yet and whose campaign began at
+  /// `won_campaign_started_at`. Its responses extend leases but stop no tasks, not even those
+  /// cancelled before its election.
+  SteadyTime response_deadline_before_replay(SteadyTime won_campaign_started_at) const;
 
  private:
   struct PeerConfirmation {
--- a/src/coordination/state/shared_state_cache.cpp
+++ b/src/coordination/state/shared_state_cache.cpp
@@ -39,7 +39,8 @@
         }
         apply_listing(listing);
         if (!loaded_)
-          spdlog::info("shared state loaded jobs={} final={}", jobs_.size(), final_states_.size());
+          spdlog::info("shared state loaded jobs={} final_records={}", jobs_.size(),
+                       final_states_.size());
         loaded_ = true;
         revision_ = std::max(revision_, listing.revision);
         update_freshness(sent_at, sent_at_wall);
--- a/src/planning/array_placement.cpp
+++ b/src/planning/array_placement.cpp
@@ -68,14 +68,14 @@
 
 bool ArrayPlacement::place_with_least_fetch_time(const JobSpec& job) {
   MachineSlot* best = nullptr;
-  double least_fetch = 0;
+  double least_fetch_time_s = 0;
   for (auto& slot : draft_.slots()) {
     if (!draft_.fits(slot, job)) continue;
-    const double fetch =
+    const double fetch_time_s =
         slot.has_cached_or_is_fetching(job.image) ? 0 : job.image_gb / slot.machine->fetch_gb_per_s;
-    if (best != nullptr && fetch >= least_fetch) continue;
+    if (best != nullptr && fetch_time_s >= least_fetch_time_s) continue;
     best = &slot;
-    least_fetch = fetch;
+    least_fetch_time_s = fetch_time_s;
   }
   if (best == nullptr) return false;
   draft_.place(*best, job);
--- a/src/planning/autoscaler/capacity_demand.hpp
+++ b/src/planning/autoscaler/capacity_demand.hpp
@@ -19,7 +19,8 @@
   std::uint32_t wanted = 0;     ///< Number of tasks, regardless of the team's limit
   std::uint32_t permitted = 0;  ///< Number of these tasks that the team's limit still allows
   DemandPurpose purpose = DemandPurpose::waiting_tasks;
-  bool prefer_quick_start = true;  ///< Whether a service's start delay raises an offer's price
+  /// Whether offers on which a service starts later are ranked as if they cost more
+  bool prefer_quick_start = true;
 };
 
 /// The whole demand of one scaling pass.
--- a/src/planning/autoscaler/scale_in_policy.hpp
+++ b/src/planning/autoscaler/scale_in_policy.hpp
@@ -41,7 +41,8 @@
   /// the share `constants::max_drain_share` of them, rounded up, is selected: first those with the
   /// fewest CPUs used by services, then those with the highest price per CPU, then those with the
   /// fewest CPUs in use. A machine with replicas is selected only if they use at most
-  /// `constants::max_moved_cpu_share` of its CPUs and all fit on other machines.
+  /// `constants::max_moved_cpu_share` of its CPUs and all fit on other machines that
+  /// have sent a heartbeat, already run services and cache the service's image.
   std::vector<std::string> choose_machines_to_drain();
 
  private:
--- a/src/protocol/resources.cpp
+++ b/src/protocol/resources.cpp
@@ -21,7 +21,7 @@
 }
 
 /// Converts thousandths to whole CPUs, GPUs or GB.
-double units(std::int64_t thousandths) {
+double to_whole_units(std::int64_t thousandths) {
   return static_cast<double>(thousandths) / thousandths_per_unit;
 }
 
@@ -42,9 +42,9 @@
 }
 
 void encode_resources(const Resources& resources, Json& object) {
-  object[wire::cpus] = units(resources.cpus);
-  object[wire::gpus] = units(resources.gpus);
-  object[wire::memory_gb] = units(resources.memory);
+  object[wire::cpus] = to_whole_units(resources.cpus);
+  object[wire::gpus] = to_whole_units(resources.gpus);
+  object[wire::memory_gb] = to_whole_units(resources.memory);
 }
 
 }  // namespace poppystile::protocol
--- a/src/storage/journal_codec.cpp
+++ b/src/storage/journal_codec.cpp
@@ -39,19 +39,20 @@
 }
 
 std::string text_at(const Json& entry, std::size_t position) {
-  return as_text(element_at(entry, position), "journal entry");
+  return as_text(element_at(entry, position), "element of a journal entry");
 }
 
 std::uint64_t count_at(const Json& entry, std::size_t position) {
-  return as_count(element_at(entry, position), "journal entry");
+  return as_count(element_at(entry, position), "element of a journal entry");
 }
 
 // Decodes a stored range such as ["n-1",3,7] or [3,7]. `position` is that of its first index.
 IndexRange range_at(const Json& stored_range, std::size_t position) {
   if (!stored_range.is_array() || stored_range.size() != position + 2)
     throw DecodeError("journal entry has a malformed index range");
-  const auto first = as_count(stored_range[position], "first index of a range");
-  const auto last = as_count(stored_range[position + 1], "last index of a range");
+  const auto first = as_count(stored_range[position], "first index of a range in a journal entry");
+  const auto last =
+      as_count(stored_range[position + 1], "last index of a range in a journal entry");
   if (last < first || last >= constants::max_tasks)
     throw DecodeError(
         "journal entry has an index range that is reversed or exceeds the task limit");
@@ -144,9 +145,12 @@
 
 JournalEntry decode_machine_registered(const Json& entry) {
   return MachineRegistered{
-      text_at(entry, 1),  text_at(entry, 2),
-      text_at(entry, 3),  as_flag(element_at(entry, 4), "journal entry"),
-      count_at(entry, 5), WallTime{Seconds{as_amount(element_at(entry, 6), "journal entry")}}};
+      text_at(entry, 1),
+      text_at(entry, 2),
+      text_at(entry, 3),
+      as_flag(element_at(entry, 4), "element of a journal entry"),
+      count_at(entry, 5),
+      WallTime{Seconds{as_amount(element_at(entry, 6), "element of a journal entry")}}};
 }
 
 JournalEntry decode_incarnation_started(const Json& entry) {
@@ -156,8 +160,9 @@
 JournalEntry decode_machine_removed(const Json& entry) { return MachineRemoved{text_at(entry, 1)}; }
 
 JournalEntry decode_image_cached(const Json& entry) {
-  return ImageCached{text_at(entry, 1),
-                     {text_at(entry, 2), as_amount(element_at(entry, 3), "journal entry")}};
+  return ImageCached{
+      text_at(entry, 1),
+      {text_at(entry, 2), as_amount(element_at(entry, 3), "element of a journal entry")}};
 }
 
 JournalEntry decode_task_placed(const Json& entry) {
@@ -187,10 +192,10 @@
 }
 
 JournalEntry decode_rental_requested(const Json& entry) {
-  return RentalRequested{
-      text_at(entry, 1),
-      {text_at(entry, 2), text_at(entry, 3), as_flag(element_at(entry, 4), "journal entry"),
-       static_cast<int>(count_at(entry, 5))}};
+  return RentalRequested{text_at(entry, 1),
+                         {text_at(entry, 2), text_at(entry, 3),
+                          as_flag(element_at(entry, 4), "element of a journal entry"),
+                          static_cast<int>(count_at(entry, 5))}};
 }
 
 JournalEntry decode_rental_settled(const Json& entry) { return RentalSettled{text_at(entry, 1)}; }
--- a/src/transport/http_client.hpp
+++ b/src/transport/http_client.hpp
@@ -33,8 +33,8 @@
   void dispatch_waiting(Pool& pool);
   /// An idle connection, or a new one; nullptr when the limit is reached.
   std::shared_ptr<Connection> acquire_connection(Pool& pool);
-  /// Removes the connection from its pool, and assigns the calls that still wait in a later
-  /// iteration of the event loop.
+  /// Removes the connection from its pool and, in a later iteration of the event loop, assigns the
+  /// calls that still wait.
   void on_closed(Pool& pool, const Connection* connection);
 
   EventLoop& loop_;
--- a/tests/unit/cancellation_tracker_test.cpp
+++ b/tests/unit/cancellation_tracker_test.cpp
@@ -118,8 +118,9 @@
 
 TEST_F(CancellationTrackerTest, LeaderThatHasNotReplayedTheJournalMayRespondForAShareOfTheBudget) {
   const Seconds response_budget = tracker.response_deadline() - tracker.complete_until();
-  const SteadyTime elected_at = caller.now();
-  const Seconds unready_budget = tracker.response_deadline_before_replay(elected_at) - elected_at;
+  const SteadyTime won_campaign_started_at = caller.now();
+  const Seconds unready_budget =
+      tracker.response_deadline_before_replay(won_campaign_started_at) - won_campaign_started_at;
   EXPECT_NEAR(unready_budget.count(),
               (response_budget * constants::response_share_before_replay).count(), 1e-9);
 }
--- a/tests/unit/lease_monitor_test.cpp
+++ b/tests/unit/lease_monitor_test.cpp
@@ -61,7 +61,8 @@
   machine.has_reported = machine.has_acknowledged_token = false;
   Job& job = add_job("req-1", JobKind::array, 1);
   place(machine, job);
-  ASSERT_GT(caller.now(), election.elected_at() + with_clock_drift(settings.cancel_timeout));
+  ASSERT_GT(caller.now(),
+            election.won_campaign_started_at() + with_clock_drift(settings.cancel_timeout));
   leases.check();
   EXPECT_EQ(job.waiting(), 1u);
 }
--- a/tests/unit/replica_rebalancer_test.cpp
+++ b/tests/unit/replica_rebalancer_test.cpp
@@ -32,7 +32,8 @@
   EXPECT_EQ(stopping(machine), 1u);
   rebalancer.run_pass();
   EXPECT_EQ(stopping(machine), 1u);
-  // The pause: a move costs 2 heartbeat intervals of 2 s, which may be 0.5% of 80 replicas' time.
+  // A move stops a replica for 4 s (2 heartbeat intervals of 2 s). At most 0.5% of the run time of
+  // 80 replicas may be lost, so one move is allowed every 10 s.
   advance(Seconds{10});
   rebalancer.run_pass();
   EXPECT_EQ(stopping(machine), 2u);
