--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// The program: command line, settings, logging, and one controller until it is killed.
+/// The program: reads the command line and the settings, sets up logging, and runs one controller
+/// until the process is killed.
 #include <spdlog/sinks/dup_filter_sink.h>
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
@@ -30,21 +31,25 @@
 
 using namespace poppystile;
 
+// Exit status for an invalid command line, settings file or properties file.
 constexpr int exit_bad_settings = 2;
 
-/// What the command line says.
+/// The values of the command line options.
 struct Options {
   std::string settings_path;
   std::string properties_path;
   bool check_only = false;
 };
 
-/// A settings or properties file that cannot be used.
+/// Thrown for a settings or properties file that cannot be read or is invalid. `what()` starts with
+/// the path.
 struct BadFile : std::runtime_error {
   BadFile(const std::string& path, const protocol::DecodeError& error)
       : std::runtime_error(path + ": " + error.what()) {}
 };
 
+/// The level that the environment variable LOG_LEVEL selects: debug, info or error; info by
+/// default.
 spdlog::level::level_enum log_level() {
   const char* given = std::getenv("LOG_LEVEL");
   const std::string level = given == nullptr ? "info" : given;
@@ -54,8 +59,8 @@
 }
 
 void set_up_logging() {
-  // A line that repeats itself, such as one about malformed heartbeats, is written once and
-  // counted.
+  // Of equal consecutive lines within this time, such as those about malformed heartbeats, only the
+  // first is written; the others are counted.
   auto filter = std::make_shared<spdlog::sinks::dup_filter_sink_st>(constants::log_repeat_window);
   filter->add_sink(std::make_shared<spdlog::sinks::stderr_sink_st>());
   spdlog::set_default_logger(std::make_shared<spdlog::logger>("poppystile", filter));
@@ -63,11 +68,11 @@
   spdlog::set_level(log_level());
 }
 
-/// Throws BadFile.
+/// Throws BadFile if the file cannot be read or is invalid.
 protocol::Settings read_settings(const std::string& path) {
   try {
     std::ifstream file(path);
-    if (!file) throw protocol::DecodeError("cannot be read");
+    if (!file) throw protocol::DecodeError("cannot open the settings file for reading");
     std::stringstream text;
     text << file.rdbuf();
     return protocol::parse_settings(text.str());
@@ -76,7 +81,7 @@
   }
 }
 
-/// Throws BadFile.
+/// Throws BadFile if the file cannot be read or is invalid.
 protocol::Properties read_properties(const std::string& path) {
   try {
     return protocol::read_properties(path);
@@ -91,6 +96,8 @@
   return addresses;
 }
 
+/// Logs the start, and a warning if the cancel timeout leaves no time between the loss of the state
+/// service and the last response to a worker.
 void log_start(const protocol::Settings& settings) {
   spdlog::info("started name={} zone={} listen={}", settings.name, settings.zone,
                to_string(settings.listen));
@@ -101,7 +108,7 @@
         settings.cancel_timeout.count(), settings.worker_lease.count());
 }
 
-/// Serves until the process is killed.
+/// Runs the controller until the process is killed.
 int serve(const protocol::Settings& settings, const protocol::Properties& properties) {
   transport::EventLoop loop;
   transport::HttpClient client(loop);
@@ -110,7 +117,7 @@
                                       std::random_device{}());
   const auto sockets = static_cast<std::size_t>(settings.sockets * constants::server_socket_share);
   const transport::HttpServer server(
-      loop, settings.listen, sockets, coordination::Controller::is_vital,
+      loop, settings.listen, sockets, coordination::Controller::is_heartbeat,
       [&](const transport::HttpRequest& request, transport::Respond respond) {
         controller.handle(request, std::move(respond));
       });
@@ -140,7 +147,7 @@
 
 }  // namespace
 
-// What is thrown before there is a log may end the program.
+// An exception that is thrown before logging is set up may terminate the program.
 // NOLINTNEXTLINE(bugprone-exception-escape)
 int main(int argc, char** argv) {
   CLI::App app{"poppystile: a cluster scheduler"};
@@ -148,8 +155,8 @@
   app.add_option("--config", options.settings_path, "settings file of the platform (JSON)")
       ->required();
   app.add_option("--properties", options.properties_path,
-                 "operators' own settings (Java properties)");
-  app.add_flag("--check", options.check_only, "check settings and properties, then exit");
+                 "tuning parameters of the operators (Java properties)");
+  app.add_flag("--check", options.check_only, "validate the settings and properties, then exit");
   app.set_version_flag("--version", std::string("poppystile ") + POPPYSTILE_VERSION);
   try {
     app.parse(argc, argv);
--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -48,7 +48,7 @@
       worker_reachability_(runtime, settings) {}
 
 void Controller::start() {
-  peer_transport_.on_frame([this](const std::string& frame) { on_peer_status(frame); });
+  peer_transport_.set_frame_handler([this](const std::string& frame) { on_peer_status(frame); });
   shared_state_.start();
   election_.start();
   leader_.start();
@@ -71,8 +71,8 @@
   peer_transport_.broadcast(protocol::encode_peer_status(make_status(redirected_heartbeats)));
 }
 
-// Reads a key when nothing else has asked the state service for a while, so that a controller
-// without requests still knows whether it is cut off.
+// Reads a key if the state service has answered no recent call, so that an idle controller also
+// detects whether it can reach the service.
 void Controller::refresh_state_contact() {
   if (runtime_.now() - key_value_client_.last_contact() <= constants::peer_heartbeat_interval)
     return;
@@ -84,8 +84,8 @@
   if (election_.is_leader()) {
     observation.emplace();
     observation->is_ready = leader_.ready();
-    observation->lease_holds = election_.lease_holds();
-    observation->hears_any_peer = peer_monitor_.hears_any_peer();
+    observation->has_valid_lease = election_.has_valid_lease();
+    observation->has_recent_peer_status = peer_monitor_.has_recent_peer_status();
     observation->responsive_machines = leader_.responsive_machine_count();
   }
   if (const auto reason = worker_reachability_.end_interval(observation))
@@ -116,7 +116,7 @@
   auto status = peer_monitor_.decode(frame);
   if (!status) return;
   cancellations_.apply(*status);
-  // Frames that a partition held back arrive late; apart from cancellations they are obsolete.
+  // A partition can delay frames; of a delayed frame only the cancellations still apply.
   if (peer_monitor_.is_superseded(*status)) return;
   cancellations_.confirm(*status);
   if (peer_monitor_.is_recent(*status))
@@ -126,29 +126,34 @@
 }
 
 void Controller::step_down_if_superseded(const protocol::PeerStatus& status) {
-  if (status.token > election_.token()) return election_.step_down("a peer knows a higher token");
-  // Without renewals our leader lease has expired, unless the whole state service is down. A peer
-  // that the service has answered since proves that it is not.
+  if (status.token > election_.token())
+    return election_.step_down("a peer reported a higher fencing token");
+  // A leader lease that was not renewed has expired, unless the whole state service has been down.
+  // A peer that received a response more than a lease duration after the last renewal shows that
+  // the service is up.
   const Seconds since_renewal = runtime_.now() - election_.lease_confirmed_at();
   const Seconds lease_duration = constants::leader_lease_ttl + constants::lease_margin;
   const Seconds since_peer_contact = runtime_.wall_now() - status.state_contact_at;
   if (since_renewal > lease_duration &&
       since_peer_contact + lease_duration < since_renewal - settings_.max_clock_offset)
-    election_.step_down("a peer reaches the state service");
+    election_.step_down(
+        "no renewal of the leader lease, although a peer reaches the state service");
 }
 
 // --- requests ---
 
-// Steady time until which this leader may respond to workers (CancellationTracker).
-SteadyTime Controller::may_respond_until() const {
+// Returns the steady time until which this leader may respond to workers; see CancellationTracker.
+SteadyTime Controller::response_deadline() const {
   if (!leader_.ready())
-    return cancellations_.may_respond_until_before_replay(election_.elected_at());
-  return cancellations_.may_respond_until();
+    return cancellations_.response_deadline_before_replay(election_.won_campaign_started_at());
+  return cancellations_.response_deadline();
 }
 
-// Whether users should send requests here. A controller that is cut off alone should be passed
-// over; in an outage all controllers are alike, and being marked unhealthy would outlast it.
-bool Controller::takes_requests() const {
+// Whether the health check reports that users can send requests to this controller. It fails until
+// the shared state is loaded, and while this controller has lost the state service but a peer
+// reaches it. In an outage of the service no controller is a better choice, and one marked as
+// unhealthy would stay so beyond the end of the outage.
+bool Controller::accepts_requests() const {
   if (!shared_state_.loaded()) return false;
   if (runtime_.now() - key_value_client_.last_contact() < constants::state_contact_stale_after)
     return true;
@@ -165,25 +170,26 @@
   }
   if (!election_.is_leader()) return redirect_heartbeat(respond);
   worker_reachability_.count_direct();
-  if (runtime_.now() > may_respond_until()) return respond(cut_off_response());
-  // Responses wait for the journal, and the process may be paused: the lease may be kept alive only
-  // if that is still allowed at the moment of sending.
+  if (runtime_.now() > response_deadline()) return respond(cut_off_response());
+  // The time limit is checked again on sending, since the response may wait for the journal and the
+  // process may have been paused: a response past the limit must not extend the worker's lease.
   leader_.handle_heartbeat(heartbeat, [this, respond](const HttpResponse& response) {
-    const bool is_late = response.status == 200 && runtime_.now() > may_respond_until();
-    respond(is_late ? cut_off_response() : response);
+    const bool limit_passed = response.status == 200 && runtime_.now() > response_deadline();
+    respond(limit_passed ? cut_off_response() : response);
   });
 }
 
-// A heartbeat proves that workers reach this controller, so a cooldown after a resignation ends.
+// Ends the cooldown after a resignation, since the heartbeat proves that workers reach this
+// controller.
 void Controller::redirect_heartbeat(const Respond& respond) {
   worker_reachability_.count_redirected();
   election_.end_cooldown();
   const auto& leader = shared_state_.leader();
-  const bool is_other = leader && leader->record.name != settings_.name;
-  respond({421, protocol::encode_redirect(is_other ? leader->record.name : "")});
+  const bool is_other_controller = leader && leader->record.name != settings_.name;
+  respond({421, protocol::encode_redirect(is_other_controller ? leader->record.name : "")});
 }
 
-bool Controller::is_vital(const HttpRequest& request) {
+bool Controller::is_heartbeat(const HttpRequest& request) {
   return protocol::parse_route(request.target).kind == Route::Kind::heartbeat;
 }
 
@@ -191,8 +197,8 @@
   using Kind = Route::Kind;
   const Route route = protocol::parse_route(request.target);
   if (route.kind == Kind::none) return respond({404, protocol::encode_error("no such path")});
-  const bool reading = route.kind == Kind::show || route.kind == Kind::up;
-  if (request.method != (reading ? "GET" : "POST"))
+  const bool is_read = route.kind == Kind::show || route.kind == Kind::health_check;
+  if (request.method != (is_read ? "GET" : "POST"))
     return respond({405, protocol::encode_error("method not allowed")});
   switch (route.kind) {
     case Kind::submit:
@@ -204,7 +210,7 @@
     case Kind::heartbeat:
       return handle_heartbeat(request.body, respond);
     default:
-      return respond({takes_requests() ? 200 : 503, "{}"});
+      return respond({accepts_requests() ? 200 : 503, "{}"});
   }
 }
 
--- a/src/coordination/fleet/scale_in.cpp
+++ b/src/coordination/fleet/scale_in.cpp
@@ -14,8 +14,8 @@
 
 const char* to_text(ReleaseReason reason) {
   switch (reason) {
-    case ReleaseReason::never_came_up:
-      return "never came up";
+    case ReleaseReason::boot_timed_out:
+      return "boot timed out";
     case ReleaseReason::silent:
       return "silent";
     case ReleaseReason::unresponsive:
@@ -37,7 +37,7 @@
       releaser_(releaser),
       settings_(settings) {}
 
-void ScaleIn::release_overdue() {
+void ScaleIn::release_unusable() {
   for (auto& [id, machine] : registry_.cluster_state().machines) {
     if (machine.releasing) continue;
     const auto reason = reason_to_release(machine);
@@ -49,7 +49,7 @@
 
 std::optional<ReleaseReason> ScaleIn::reason_to_release(const Machine& machine) const {
   if (machine.incarnation == 0) {
-    if (is_boot_timed_out(machine)) return ReleaseReason::never_came_up;
+    if (is_boot_timed_out(machine)) return ReleaseReason::boot_timed_out;
     return std::nullopt;
   }
   if (is_silent(machine)) return ReleaseReason::silent;
@@ -62,7 +62,7 @@
   const protocol::MachineType* type = catalog_.find(machine.type);
   const Seconds boot_time = type == nullptr ? Seconds{0} : type->boot_time;
   const Seconds age = runtime_.wall_now() - machine.rented_at;
-  return age > boot_time * constants::boot_timeout_factor + constants::boot_timeout_floor;
+  return age > boot_time * constants::boot_timeout_factor + constants::boot_timeout_allowance;
 }
 
 bool ScaleIn::is_silent(const Machine& machine) const {
--- a/src/coordination/journal/snapshot_schedule.cpp
+++ b/src/coordination/journal/snapshot_schedule.cpp
@@ -55,14 +55,14 @@
 void SnapshotSchedule::on_head_committed() {
   head_ = *next_head_;
   next_head_.reset();
-  spdlog::debug("journal snapshot generation={} chunks={} bytes={}", head_.generation,
+  spdlog::debug("journal snapshot committed generation={} chunks={} bytes={}", head_.generation,
                 head_.snapshot_chunks, snapshot_bytes_);
 }
 
 std::uint64_t SnapshotSchedule::max_segments_since() const {
   const std::uint64_t chunks = next_head_ ? next_head_->snapshot_chunks : head_.snapshot_chunks;
-  return std::clamp(constants::open_segments_per_chunk * chunks, constants::min_open_segments,
-                    constants::journal_ring);
+  return std::clamp(constants::segments_per_snapshot_chunk * chunks,
+                    constants::min_segments_after_snapshot, constants::journal_ring_segments);
 }
 
 std::size_t SnapshotSchedule::max_chunks_per_write() const {
--- a/src/coordination/leader/failover_recovery.cpp
+++ b/src/coordination/leader/failover_recovery.cpp
@@ -43,7 +43,8 @@
   is_waiting_for_lease_expiry_ = false;
 }
 
-// The jobs come by the watch of the shared state; it must have passed our own election.
+// The job records come from the watch of the shared state, which must have reached the revision of
+// this controller's election.
 void FailoverRecovery::wait_for_shared_state() {
   if (shared_state_.revision() >= election_.fence().version) return load_journal();
   runtime_.after(constants::leader_tick, term_.wrap([this] { wait_for_shared_state(); }));
@@ -56,11 +57,17 @@
   }));
 }
 
-// A former leader stops responding early enough that the leases it kept alive expire within the
-// cancel timeout of its last renewal (Controller::may_respond_until). Nobody renews them now, so
-// nothing runs any more after that time.
+// A former leader responds to a worker only if the lease that the response extends expires within
+// `cancel_timeout` of the time up to which that leader has every cancellation, or of its own
+// election while it had not replayed the journal (Controller::response_deadline). This time is not
+// later than this controller's election: a former leader whose shared state or peer statuses
+// include the election steps down. Responses that this controller has sent since then extend leases
+// by `worker_lease`, which is shorter than `cancel_timeout`. From now on no controller extends a
+// worker lease, since this controller rejects heartbeats and the other controllers redirect them.
+// So no task runs after the wait.
 void FailoverRecovery::wait_for_lease_expiry() {
-  spdlog::error("waiting until every lease has ended seconds={}", settings_.cancel_timeout.count());
+  spdlog::error("journal unreadable, waiting for all worker leases to expire seconds={}",
+                settings_.cancel_timeout.count());
   is_waiting_for_lease_expiry_ = true;
   runtime_.after(with_clock_drift(settings_.cancel_timeout),
                  term_.wrap([this] { reset_journal(); }));
@@ -78,41 +85,41 @@
   cluster_state_ = {};
   fleet_.begin_term(cluster_state_, replayed.rentals);
   restore_jobs(replayed);
-  for (const auto& [id, known] : replayed.machines) restore_machine(id, known, replayed, now);
+  for (const auto& [id, recorded] : replayed.machines) restore_machine(id, recorded, replayed, now);
   for (auto& [id, job] : cluster_state_.jobs)
     if (job.is_gang()) GangTracker::on_restored(job, now);
   on_recovered_();
 }
 
 void FailoverRecovery::restore_jobs(const ReplayedState& replayed) {
-  for (const auto& [id, known] : shared_state_.jobs()) {
-    Job& job = jobs_.add(id, known);
-    const auto found = replayed.jobs.find(id);
-    if (found == replayed.jobs.end()) continue;
-    const auto& finished = found->second.finished;
+  for (const auto& [id, recorded] : shared_state_.jobs()) {
+    Job& job = jobs_.add(id, recorded);
+    const auto replayed_job = replayed.jobs.find(id);
+    if (replayed_job == replayed.jobs.end()) continue;
+    const auto& finished = replayed_job->second.finished;
     for (std::uint32_t i = 0; i < std::min(finished.size(), job.phases.size()); ++i)
       if (finished[i]) job.finish(i);
     if (job.is_gang() && job.finished > 0) job.finish_all();
   }
 }
 
-void FailoverRecovery::restore_machine(const std::string& id, const ReplayedMachine& known,
+void FailoverRecovery::restore_machine(const std::string& id, const ReplayedMachine& recorded,
                                        const ReplayedState& replayed, SteadyTime now) {
   Machine restored;
   restored.id = id;
-  restored.type = known.type;
-  restored.zone = known.zone;
-  restored.spot = known.spot;
-  restored.incarnation = known.incarnation;
-  restored.rented_at = known.rented_at;
-  restored.images = known.images;
+  restored.type = recorded.type;
+  restored.zone = recorded.zone;
+  restored.spot = recorded.spot;
+  restored.incarnation = recorded.incarnation;
+  restored.rented_at = recorded.rented_at;
+  restored.images = recorded.images;
   restored.last_response_at = restored.last_heartbeat_at = now;
   fleet_.apply_machine_type(restored);
   Machine& machine = cluster_state_.machines.emplace(id, std::move(restored)).first->second;
-  for (const auto& [job_id, index] : known.tasks) {
+  for (const auto& [job_id, index] : recorded.tasks) {
     Job* job = cluster_state_.job(job_id);
-    if (job == nullptr || index >= job->phases.size()) continue;  // ended: nothing is left to do
-    if (job->is_task_finished(index)) continue;                   // its gang has completed
+    if (job == nullptr || index >= job->phases.size()) continue;  // The job has ended.
+    if (job->is_task_finished(index)) continue;                   // The gang has completed.
     const auto& task = replayed.jobs.at(job_id).placed.at(index);
     cluster_state_.restore(machine, *job, index, task.attempt, now);
   }
--- a/src/coordination/leader/job_finalizer.cpp
+++ b/src/coordination/leader/job_finalizer.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-// A final record that is written and a job record that is deleted.
+// One change creates the final record, the other deletes the job record.
 constexpr std::size_t changes_per_job = 2;
 
 }  // namespace
@@ -21,11 +21,11 @@
 void JobFinalizer::reset() {
   term_.end();
   write_in_flight_ = false;
-  due_.clear();
+  queue_.clear();
 }
 
 void JobFinalizer::enqueue_if_final(const std::string& id, const Job& job) {
-  if (job.record.cancelled ? job.placements.empty() : job.all_finished()) due_.insert(id);
+  if (job.record.cancelled ? job.placements.empty() : job.all_finished()) queue_.insert(id);
 }
 
 void JobFinalizer::pump() {
@@ -34,7 +34,7 @@
   next_write_at_ = now + constants::finalize_interval;
   sweep_if_due(now);
   protocol::Transaction transaction;
-  const std::vector<std::string> jobs = take_due(transaction);
+  const std::vector<std::string> jobs = fill_transaction(transaction);
   if (jobs.empty()) return;
   write_in_flight_ = true;
   key_value_client_.compare_and_swap(
@@ -42,19 +42,19 @@
       term_.wrap([this, jobs](const TransactionResult& result) { on_write_result(jobs, result); }));
 }
 
-// Finds jobs whose final record was held up because something else changed their record.
+// Queues jobs whose final record could not be written because their job record had changed.
 void JobFinalizer::sweep_if_due(SteadyTime now) {
   if (now - last_sweep_at_ <= constants::finalize_sweep_interval) return;
   last_sweep_at_ = now;
   for (const auto& [id, job] : cluster_state_.jobs) enqueue_if_final(id, job);
 }
 
-std::vector<std::string> JobFinalizer::take_due(protocol::Transaction& transaction) {
+std::vector<std::string> JobFinalizer::fill_transaction(protocol::Transaction& transaction) {
   std::vector<std::string> jobs;
   transaction.conditions.push_back(election_.fence());
-  while (!due_.empty() &&
+  while (!queue_.empty() &&
          transaction.changes.size() + changes_per_job <= settings_.state_limits.max_changes()) {
-    const std::string id = due_.extract(due_.begin()).value();
+    const std::string id = queue_.extract(queue_.begin()).value();
     const Job* job = cluster_state_.job(id);
     if (job == nullptr) continue;
     transaction.conditions.push_back({storage::final_record_key(id), 0});
@@ -89,11 +89,13 @@
   }
 }
 
-// Jobs whose record has changed are left to the sweep, once the watch has shown their new version.
+// Queues the jobs again after a failed transaction, except those whose record has changed: their
+// final record can be written only after the watch has delivered the new version, so the next sweep
+// queues them.
 void JobFinalizer::retry_later(const std::vector<std::string>& jobs,
                                const TransactionResult& result) {
   next_write_at_ = runtime_.now() + constants::state_retry_pause;
-  // The same transaction would be refused again: the sweep queues the jobs anew.
+  // The same transaction would be refused again, so the jobs wait for the next sweep.
   if (result.status == CallStatus::invalid) return;
   for (const auto& id : jobs) {
     const Job* job = cluster_state_.job(id);
--- a/src/coordination/leader/leader.cpp
+++ b/src/coordination/leader/leader.cpp
@@ -53,12 +53,12 @@
                                      journal_.entry_limits());
   });
   fleet_.on_machine_removed(
-      [this](Machine& machine, const std::string& why) { on_machine_removed(machine, why); });
+      [this](Machine& machine, const std::string& reason) { on_machine_removed(machine, reason); });
 }
 
 void Leader::start() { tick(); }
 
-// --- the term ---
+// --- term ---
 
 void Leader::on_elected() {
   scheduling_.begin_term(election_.token());
@@ -92,7 +92,7 @@
     respond({200, protocol::encode_commands(election_.token(), {})});
   };
   if (heartbeat.token > election_.token()) {
-    election_.step_down("a worker has seen a higher token");
+    election_.step_down("a worker reported a higher fencing token");
     return respond({421, protocol::encode_redirect("")});
   }
   if (recovery_.is_waiting_for_lease_expiry())
@@ -112,9 +112,9 @@
       [](const auto& each) { return each.second.has_reported && !each.second.lease_expired; }));
 }
 
-void Leader::on_machine_removed(Machine& machine, const std::string& why) {
+void Leader::on_machine_removed(Machine& machine, const std::string& reason) {
   const std::string id = machine.id;
-  reconciler_.evict_all(machine, why);
+  reconciler_.evict_all(machine, reason);
   responder_.drop(id);
   journal_.append(storage::MachineRemoved{id});
   cluster_state_.machines.erase(id);
@@ -143,13 +143,13 @@
   check_fleet_size();
 }
 
-// Warns once when the settings leave fewer connections than there are machines.
+// Logs an error once if the socket limit allows fewer incoming connections than there are machines.
 void Leader::check_fleet_size() {
   const double connections = settings_.sockets * constants::server_socket_share;
   const auto machines = static_cast<double>(cluster_state_.machines.size());
   if (machines <= connections || std::exchange(warned_of_fleet_size_, true)) return;
   spdlog::error(
-      "sockets: {} leave {:.0f} connections for workers and users, but there are {} machines",
+      "socket limit too low for the fleet sockets={} incoming_connections={:.0f} machines={}",
       settings_.sockets, connections, machines);
 }
 
--- a/src/coordination/leader/scheduling_loop.cpp
+++ b/src/coordination/leader/scheduling_loop.cpp
@@ -45,20 +45,21 @@
 
 bool SchedulingLoop::may_place_on(const Machine& machine) const {
   return plan_requested_ && planning::is_schedulable(machine, runtime_.now()) &&
-         machine.room().cpus >= least_waiting_cpus_;
+         machine.free_resources().cpus >= least_waiting_cpus_;
 }
 
 void SchedulingLoop::plan() {
   const SteadyTime started_at = runtime_.now();
   plan_requested_ = false;
   const auto attempt = attempts_.next();
-  if (!attempt) return election_.resign("its attempt numbers are used up", Seconds{0});
-  planning::Plan made = planning::make_plan(cluster_state_, planning_context(started_at));
-  log_waiting_gangs(std::move(made.waiting_gangs));
-  apply_placements(made.placements, *attempt, started_at);
-  apply_preemptions(made.preemptions);
+  if (!attempt) return election_.resign("attempt numbers of the term exhausted", Seconds{0});
+  planning::Plan new_plan = planning::make_plan(cluster_state_, planning_context(started_at));
+  log_waiting_gangs(std::move(new_plan.waiting_gangs));
+  apply_placements(new_plan.placements, *attempt, started_at);
+  apply_preemptions(new_plan.preemptions);
   update_least_waiting_cpus();
-  // The pause follows the plan's own cost, so that heartbeats get most of the processor.
+  // The pause is proportional to the plan's duration, so that heartbeats get most of the processor
+  // time.
   const SteadyTime ended_at = runtime_.now();
   next_plan_at_ = ended_at + std::max(constants::min_plan_interval,
                                       (ended_at - started_at) * constants::planning_pause_factor);
@@ -68,32 +69,34 @@
   planning::PlanningContext context;
   context.now = now;
   context.teams = &settings_.teams;
-  context.weights = {constants::local_units, constants::remote_units,
+  context.weights = {constants::local_task_units, constants::remote_task_units,
                      properties_.remote_offset_units, true};
   context.heartbeat_interval = settings_.heartbeat_interval;
   context.wall_now = runtime_.wall_now();
-  context.finish_aims = &settings_.finish_aims;
+  context.finish_objectives = &settings_.finish_objectives;
   if (settings_.gang_times)
     context.gang_task_replacement_window = settings_.gang_times->task_replacement_window();
   return context;
 }
 
-// Logs each gang's reason once.
-void SchedulingLoop::log_waiting_gangs(std::map<std::string, planning::GangWaitReason> waits) {
-  for (const auto& [id, why] : waits) {
-    const auto before = waiting_gangs_.find(id);
-    if (before == waiting_gangs_.end() || before->second != why)
-      spdlog::info("gang waits id={} why=\"{}\"", id, planning::to_string(why));
+// Logs why a gang waits when it begins to wait and whenever the reason changes.
+void SchedulingLoop::log_waiting_gangs(
+    std::map<std::string, planning::GangWaitReason> wait_reasons) {
+  for (const auto& [id, reason] : wait_reasons) {
+    const auto previous = waiting_gangs_.find(id);
+    if (previous == waiting_gangs_.end() || previous->second != reason)
+      spdlog::info("gang waits id={} why=\"{}\"", id, planning::to_string(reason));
   }
-  waiting_gangs_ = std::move(waits);
+  waiting_gangs_ = std::move(wait_reasons);
 }
 
 void SchedulingLoop::apply_placements(const std::vector<planning::PlannedPlacement>& placements,
                                       std::uint64_t plan_attempt, SteadyTime now) {
-  std::map<std::string, std::uint64_t> gang_positions;  // log position of each gang's last entry
-  for (const auto& each : placements) {
-    Machine& machine = cluster_state_.machines.at(each.machine);
-    Job& job = cluster_state_.jobs.at(each.job);
+  // Log position of each gang's last entry, by job id.
+  std::map<std::string, std::uint64_t> gang_positions;
+  for (const auto& planned : placements) {
+    Machine& machine = cluster_state_.machines.at(planned.machine);
+    Job& job = cluster_state_.jobs.at(planned.job);
     if (job.is_gang()) GangTracker::on_placed(job, plan_attempt, now);
     const std::uint64_t attempt = job.is_gang() ? job.gang.number : plan_attempt;
     Placement& placed = cluster_state_.place(machine, job, attempt, now);
@@ -102,19 +105,22 @@
     if (job.is_gang()) gang_positions[job.spec().id] = placed.log_position;
     spdlog::debug("task placed job={} index={} machine={}", placed.job, placed.index, machine.id);
   }
-  // No task of a gang starts before the journal records all of them: a successor finds it whole.
+  // No task of a gang is started before the journal records the placements of all its tasks, so
+  // that a successor restores the complete gang.
   for (const auto& [id, position] : gang_positions)
-    cluster_state_.jobs.at(id).for_each_placement(
-        [position = position](Placement& each) { each.log_position = position; });
+    cluster_state_.jobs.at(id).for_each_placement([position = position](Placement& gang_placement) {
+      gang_placement.log_position = position;
+    });
 }
 
 void SchedulingLoop::apply_preemptions(
     const std::vector<planning::PlannedPreemption>& preemptions) {
-  for (const auto& each : preemptions) {
-    Placement* placement =
-        cluster_state_.machines.at(each.machine).find(each.job, each.index, each.attempt);
+  for (const auto& planned : preemptions) {
+    Placement* placement = cluster_state_.machines.at(planned.machine)
+                               .find(planned.job, planned.index, planned.attempt);
     stopper_.stop_task(*placement);
-    spdlog::info("task preempted job={} index={} machine={}", each.job, each.index, each.machine);
+    spdlog::info("task preempted job={} index={} machine={}", planned.job, planned.index,
+                 planned.machine);
   }
 }
 
@@ -122,7 +128,7 @@
   least_waiting_cpus_ = std::numeric_limits<std::int64_t>::max();
   for (const auto& [id, job] : cluster_state_.jobs)
     if (job.waiting() > 0 && !job.record.cancelled)
-      least_waiting_cpus_ = std::min(least_waiting_cpus_, job.spec().each.cpus);
+      least_waiting_cpus_ = std::min(least_waiting_cpus_, job.spec().task_resources.cpus);
 }
 
 }  // namespace poppystile::coordination
--- a/src/coordination/leader/task_reconciler.cpp
+++ b/src/coordination/leader/task_reconciler.cpp
@@ -75,7 +75,7 @@
 }
 
 bool TaskReconciler::has_outlived_failures(const Placement& placement, const Job& job) const {
-  return placement.phase == PlacementPhase::running && !job.failed_on.empty() &&
+  return placement.phase == PlacementPhase::running && !job.failed_machines.empty() &&
          runtime_.now() - placement.phase_started_at >
              2 * (job.longest_failed_run + settings_.heartbeat_interval);
 }
@@ -88,7 +88,7 @@
     if (phase == PlacementPhase::running) {
       ++job->running;
       record_cached_image(machine, *job);
-      spdlog::debug("task runs job={} index={} machine={} after_s={:.1f}", placement.job,
+      spdlog::debug("task running job={} index={} machine={} after_s={:.1f}", placement.job,
                     placement.index, machine.id,
                     (runtime_.now() - placement.phase_started_at).count());
     }
@@ -113,7 +113,7 @@
   MachineHealth::reset_failures(machine);
   job.reset_failures();
   if (job.is_gang()) {
-    // The tasks of a gang complete together: the other machines need not report theirs.
+    // The tasks of a gang complete together, so the exits of the other tasks need not be reported.
     job.finish_all();
   } else {
     record_cached_image(machine, job);
@@ -127,32 +127,34 @@
 
 void TaskReconciler::expire_unacknowledged_starts(Machine& machine,
                                                   const protocol::Heartbeat& heartbeat) {
-  // Only a worker that has seen our token is sure to accept no start of an earlier leader any more.
+  // Only a worker that has seen this leader's token is certain to reject starts of former leaders.
   if (!machine.has_acknowledged_token) return;
-  for (auto& each : machine.placements) {
-    if (each.phase == PlacementPhase::exited || each.last_reported_sequence == heartbeat.sequence)
+  for (auto& placed_task : machine.placements) {
+    if (placed_task.phase == PlacementPhase::exited ||
+        placed_task.last_reported_sequence == heartbeat.sequence)
       continue;
-    // A start that answered an earlier heartbeat than this one cannot arrive any more.
-    const bool start_has_settled = std::make_pair(each.start_incarnation, each.start_sequence) <
-                                   std::make_pair(heartbeat.incarnation, heartbeat.sequence);
-    if (!start_has_settled) continue;
-    const Job* job = cluster_state_.job(each.job);
-    const bool gang_runs =
+    // A start that was sent in the response to an earlier heartbeat cannot arrive any more.
+    const bool start_outcome_is_known =
+        std::make_pair(placed_task.start_incarnation, placed_task.start_sequence) <
+        std::make_pair(heartbeat.incarnation, heartbeat.sequence);
+    if (!start_outcome_is_known) continue;
+    const Job* job = cluster_state_.job(placed_task.job);
+    const bool is_gang_running =
         job != nullptr && job->is_gang() && job->gang.phase == GangPhase::running;
-    if (each.last_reported_sequence != 0 || each.stopping || gang_runs) {
-      remove_placement(machine, each);
-    } else if (each.start_incarnation != 0 &&
-               ++each.unacknowledged_starts >= constants::max_unacknowledged_starts) {
-      health_.mark_unresponsive(machine, "starts unacknowledged");
-      remove_placement(machine, each);
+    if (placed_task.last_reported_sequence != 0 || placed_task.stopping || is_gang_running) {
+      remove_placement(machine, placed_task);
+    } else if (placed_task.start_incarnation != 0 &&
+               ++placed_task.unacknowledged_starts >= constants::max_unacknowledged_starts) {
+      health_.mark_unresponsive(machine, "start commands unacknowledged");
+      remove_placement(machine, placed_task);
     }
   }
 }
 
 void TaskReconciler::record_cached_image(Machine& machine, const Job& job) {
-  const bool is_known = machine.holds(job.spec().image);
+  const bool was_cached = machine.has_cached(job.spec().image);
   machine.mark_image_used(job.spec().image, job.spec().image_gb);
-  if (!is_known) journal_.append(storage::ImageCached{machine.id, machine.images.back()});
+  if (!was_cached) journal_.append(storage::ImageCached{machine.id, machine.images.back()});
 }
 
 void TaskReconciler::remove_placement(Machine& machine, Placement& placement) {
@@ -162,23 +164,23 @@
   Job* job = cluster_state_.job(placement.job);
   if (job == nullptr) return;
   journal_.append(storage::PlacementEnded{placement.job, {IndexRange::single(placement.index)}});
-  if (job->is_task_finished(placement.index)) return;  // its gang has completed
+  if (job->is_task_finished(placement.index)) return;  // The gang has completed.
   job->requeue(placement.index);
   if (job->is_gang()) GangTracker::on_task_lost(*job, machine.id, runtime_.now());
   finalizer_.enqueue_if_final(placement.job, *job);
 }
 
 void TaskReconciler::erase_removed_placements(Machine& machine) {
-  std::erase_if(machine.placements, [](const Placement& each) {
-    return each.phase == PlacementPhase::exited && !each.finished;
+  std::erase_if(machine.placements, [](const Placement& placed_task) {
+    return placed_task.phase == PlacementPhase::exited && !placed_task.finished;
   });
 }
 
-void TaskReconciler::evict_all(Machine& machine, const std::string& why) {
+void TaskReconciler::evict_all(Machine& machine, const std::string& reason) {
   if (!machine.placements.empty())
     spdlog::info("machine evicted id={} tasks={} why=\"{}\"", machine.id, machine.placements.size(),
-                 why);
-  for (auto& each : machine.placements) remove_placement(machine, each);
+                 reason);
+  for (auto& placed_task : machine.placements) remove_placement(machine, placed_task);
   machine.placements.clear();
 }
 
--- a/src/coordination/state/shared_state_cache.cpp
+++ b/src/coordination/state/shared_state_cache.cpp
@@ -28,27 +28,28 @@
 // --- listing and watch ---
 
 void SharedStateCache::load() {
-  const SteadyTime sent = runtime_.now();
-  const WallTime sent_wall = runtime_.wall_now();
+  const SteadyTime sent_at = runtime_.now();
+  const WallTime sent_at_wall = runtime_.wall_now();
   key_value_client_.list_all(
       keys::shared, RequestPriority::user,
-      [this, sent, sent_wall](CallStatus status, const protocol::EntryPage& listing) {
+      [this, sent_at, sent_at_wall](CallStatus status, const protocol::EntryPage& listing) {
         if (status != CallStatus::ok) {
           runtime_.after(constants::state_retry_pause, [this] { load(); });
           return;
         }
         apply_listing(listing);
         if (!loaded_)
-          spdlog::info("shared state loaded jobs={} final={}", jobs_.size(), final_states_.size());
+          spdlog::info("shared state loaded jobs={} final_records={}", jobs_.size(),
+                       final_states_.size());
         loaded_ = true;
         revision_ = std::max(revision_, listing.revision);
-        note_fresh(sent, sent_wall);
+        update_freshness(sent_at, sent_at_wall);
         if (on_leader_) on_leader_();
-        follow(listing.revision);
+        watch_changes(listing.revision);
       });
 }
 
-// After a gap in the watch, keys that are not listed any more have been deleted meanwhile.
+// Jobs and a leader key that are cached but not listed were deleted during a gap in the watch.
 void SharedStateCache::apply_listing(const protocol::EntryPage& listing) {
   std::set<std::string> listed_keys;
   for (const auto& entry : listing.entries) listed_keys.insert(entry.key);
@@ -62,27 +63,27 @@
     apply_response(keys::leader, std::nullopt, listing.revision);
 }
 
-void SharedStateCache::follow(std::uint64_t after) {
-  const SteadyTime sent = runtime_.now();
-  const WallTime sent_wall = runtime_.wall_now();
+void SharedStateCache::watch_changes(std::uint64_t after) {
+  const SteadyTime sent_at = runtime_.now();
+  const WallTime sent_at_wall = runtime_.wall_now();
   key_value_client_.watch(
       keys::shared, after,
-      [this, after, sent, sent_wall](CallStatus status, const protocol::WatchPage& page) {
+      [this, after, sent_at, sent_at_wall](CallStatus status, const protocol::WatchPage& page) {
         if (status == CallStatus::conflict) return load();
         if (status != CallStatus::ok) {
-          runtime_.after(constants::state_retry_pause, [this, after] { follow(after); });
+          runtime_.after(constants::state_retry_pause, [this, after] { watch_changes(after); });
           return;
         }
         for (const auto& event : page.events) apply_response(event.key, event.value, event.version);
         revision_ = std::max(revision_, page.revision);
-        note_fresh(sent, sent_wall);
-        follow(std::max(after, page.revision));
+        update_freshness(sent_at, sent_at_wall);
+        watch_changes(std::max(after, page.revision));
       });
 }
 
-void SharedStateCache::note_fresh(SteadyTime at, WallTime wall_at) {
-  fresh_as_of_ = std::max(fresh_as_of_, at);
-  fresh_as_of_wall_ = std::max(fresh_as_of_wall_, wall_at);
+void SharedStateCache::update_freshness(SteadyTime as_of, WallTime as_of_wall) {
+  fresh_as_of_ = std::max(fresh_as_of_, as_of);
+  fresh_as_of_wall_ = std::max(fresh_as_of_wall_, as_of_wall);
 }
 
 // --- records ---
@@ -92,8 +93,8 @@
   try {
     if (key.starts_with(keys::jobs)) {
       apply_job(key.substr(keys::jobs.size()), value, version);
-    } else if (key.starts_with(keys::over)) {
-      apply_final_state(key.substr(keys::over.size()), value);
+    } else if (key.starts_with(keys::final_records)) {
+      apply_final_state(key.substr(keys::final_records.size()), value);
     } else if (key == keys::leader) {
       apply_leader(value, version);
     } else if (key == keys::token && value && version > token_version_) {
@@ -110,26 +111,26 @@
 
 void SharedStateCache::apply_job(const std::string& id, const std::optional<Json>& value,
                                  std::uint64_t version) {
-  const auto known = jobs_.find(id);
-  if (known != jobs_.end() && version <= known->second.version) return;
+  const auto cached = jobs_.find(id);
+  if (cached != jobs_.end() && version <= cached->second.version) return;
   if (value) {
-    // A record read long ago must not bring back a job that has ended.
+    // A delayed response with an old record must not add a job again that has a final state.
     if (final_states_.contains(id)) return;
     CachedJob job{storage::decode_job(*value), version};
-    // A cancellation is permanent: an older record, which arrives after a peer advertised the
-    // cancellation or in the listing after a gap, must not undo it.
+    // A cancellation is permanent. An older record must not undo it: one can arrive after a peer
+    // has advertised the cancellation, or in the listing after a gap in the watch.
     if (cancelled_.contains(id)) job.record.cancelled = true;
     if (job.record.cancelled) cancelled_.insert(id);
     jobs_[id] = std::move(job);
-  } else if (known != jobs_.end()) {
-    jobs_.erase(known);
+  } else if (cached != jobs_.end()) {
+    jobs_.erase(cached);
   } else {
     return;
   }
   if (on_job_) on_job_(id);
 }
 
-// Final states are never changed or deleted, so versions do not matter.
+// Final states are never changed or deleted, so their versions need not be compared.
 void SharedStateCache::apply_final_state(const std::string& id, const std::optional<Json>& value) {
   if (!value) return;
   final_states_.emplace(id, storage::decode_final_state(*value));
@@ -146,9 +147,9 @@
 
 void SharedStateCache::apply_cancellation(const std::string& id) {
   if (final_states_.contains(id) || !cancelled_.insert(id).second) return;
-  const auto known = jobs_.find(id);
-  if (known == jobs_.end()) return;
-  known->second.record.cancelled = true;
+  const auto cached = jobs_.find(id);
+  if (cached == jobs_.end()) return;
+  cached->second.record.cancelled = true;
   if (on_job_) on_job_(id);
 }
 
--- a/src/planning/autoscaler/bin_packer.cpp
+++ b/src/planning/autoscaler/bin_packer.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-// Puts as many of `count` tasks as fit into the bin; returns how many.
+// Places as many of `count` tasks as fit into the bin, and returns their number.
 std::uint32_t fill(Bin& bin, const JobSpec& spec, std::uint32_t count) {
-  const auto fitting =
-      static_cast<std::uint32_t>(std::min<std::int64_t>(spec.each.times_in(bin.room), count));
-  for (std::uint32_t i = 0; i < fitting; ++i) bin.room -= spec.each;
+  const auto fitting = static_cast<std::uint32_t>(
+      std::min<std::int64_t>(spec.task_resources.times_in(bin.free_resources), count));
+  for (std::uint32_t i = 0; i < fitting; ++i) bin.free_resources -= spec.task_resources;
   return fitting;
 }
 
@@ -50,37 +50,41 @@
   }
 }
 
-// The zone with the most room for the gang. Where that is too little, zones in which machines can
-// be rented go first, if there are any.
+// Returns the zone with free capacity for the most of the gang's tasks, among the zones with
+// capacity for the whole gang or in which machines can be rented; if there are none, among all
+// zones. Returns nothing if there is no zone.
 std::optional<std::string> BinPacker::choose_gang_zone(const TaskDemand& demand) const {
   std::optional<std::string> best;
-  std::int64_t best_room = 0;
+  std::int64_t best_capacity = 0;
   bool best_suffices = false;
-  for (const auto& [zone, room] : task_room_by_zone(demand.spec)) {
-    const bool suffices = room >= demand.wanted || can_rent_in(zone, demand.spec);
-    if (best && (best_suffices > suffices || (best_suffices == suffices && best_room >= room)))
+  for (const auto& [zone, task_capacity] : task_capacity_by_zone(demand.spec)) {
+    const bool suffices = task_capacity >= demand.wanted || can_rent_in(zone, demand.spec);
+    if (best &&
+        (best_suffices > suffices || (best_suffices == suffices && best_capacity >= task_capacity)))
       continue;
     best = zone;
-    best_room = room;
+    best_capacity = task_capacity;
     best_suffices = suffices;
   }
   return best;
 }
 
-// For each zone, how many tasks the machines in it have room for.
-std::map<std::string, std::int64_t> BinPacker::task_room_by_zone(const JobSpec& spec) const {
-  std::map<std::string, std::int64_t> room;
+// Returns for how many tasks the bins of each zone have capacity: 0 for zones of the catalog
+// without suitable bins.
+std::map<std::string, std::int64_t> BinPacker::task_capacity_by_zone(const JobSpec& spec) const {
+  std::map<std::string, std::int64_t> task_capacity;
   for (const auto& type : types_)
-    for (const auto& zone : type.zones) room.try_emplace(zone, 0);
+    for (const auto& zone : type.zones) task_capacity.try_emplace(zone, 0);
   for (const auto& bin : supply_.bins)
-    if (may_run_on(spec, bin.offer)) room[bin.offer.zone] += spec.each.times_in(bin.room);
-  return room;
+    if (may_run_on(spec, bin.offer))
+      task_capacity[bin.offer.zone] += spec.task_resources.times_in(bin.free_resources);
+  return task_capacity;
 }
 
 bool BinPacker::can_rent_in(const std::string& zone, const JobSpec& spec) const {
-  JobSpec there = spec;
-  there.zone = zone;
-  return selector_.cheapest(there, true, supply_.composition).has_value();
+  JobSpec spec_in_zone = spec;
+  spec_in_zone.zone = zone;
+  return selector_.cheapest(spec_in_zone, true, supply_.composition).has_value();
 }
 
 }  // namespace poppystile::planning
--- a/src/planning/autoscaler/capacity_demand.cpp
+++ b/src/planning/autoscaler/capacity_demand.cpp
@@ -18,13 +18,13 @@
 
 namespace {
 
-constexpr std::int64_t unlimited_cpus = std::int64_t{1} << 60;  // thousandths
-// An array is finished in no more than so many rounds of its tasks.
+constexpr std::int64_t unlimited_cpus = std::int64_t{1} << 60;  // Thousandths of CPUs
+// Maximum number of rounds, one after another, in which the tasks of an array run.
 constexpr double max_rounds = 4.0;
-// Rounds for an array without a deadline.
+// Number of rounds for a new array without a deadline.
 constexpr double default_rounds = 3;
 
-// What each team may still use, as demand takes it up.
+// The CPUs that each team may still use under its limit, reduced as demand is added.
 class TeamQuotas {
  public:
   TeamQuotas(const ClusterState& cluster_state, const ScalingContext& context) {
@@ -36,17 +36,19 @@
     }
   }
 
-  // Takes up to `wanted` tasks from the quota of the job's team; returns how many.
+  // Takes the CPUs of up to `wanted` tasks from the quota of the job's team. Returns the number of
+  // tasks that the quota permits.
   std::uint32_t take(const JobSpec& spec, std::uint32_t wanted) {
-    if (spec.each.cpus <= 0) return wanted;
+    if (spec.task_resources.cpus <= 0) return wanted;
     auto& remaining = remaining_[spec.team];
-    const auto permitted = std::clamp<std::int64_t>(remaining / spec.each.cpus, 0, wanted);
-    remaining -= spec.each.cpus * permitted;
+    const auto permitted =
+        std::clamp<std::int64_t>(remaining / spec.task_resources.cpus, 0, wanted);
+    remaining -= spec.task_resources.cpus * permitted;
     return static_cast<std::uint32_t>(permitted);
   }
 
  private:
-  std::map<std::string, std::int64_t> remaining_;  // thousandths of cpus
+  std::map<std::string, std::int64_t> remaining_;  // Thousandths of CPUs by team
 };
 
 std::vector<const Job*> jobs_in_packing_order(const ClusterState& cluster_state) {
@@ -83,15 +85,18 @@
            bool prefer_quick_start) {
     const std::uint32_t permitted = quotas_.take(spec, wanted);
     if (permitted == 0) return;
-    demand_.cpus += spec.each.cpus * permitted;
+    demand_.cpus += spec.task_resources.cpus * permitted;
     demand_.tasks.push_back({spec, wanted, permitted, purpose, prefer_quick_start});
   }
 
-  // Room for the services that come next, in the shape of the last job of each class. While
-  // replicas wait it is what the next of them will take, so it must be quick as well as cheap.
+  // Adds capacity for future replicas: for each class of services, the share `service_reserve` of
+  // its replicas, each with the size and constraints of the class's last job in packing order,
+  // except its zone. While replicas wait,
+  // the next ones use the reserve as soon as it is available, so its start delay counts besides its
+  // price.
   void add_service_reserves(const std::vector<const Job*>& jobs) {
     struct ServiceClass {
-      const JobSpec* shape = nullptr;
+      const JobSpec* reserve_spec = nullptr;
       double tasks = 0;
     };
     std::map<std::string, ServiceClass> classes;
@@ -100,22 +105,23 @@
       if (job->spec().kind != JobKind::service) continue;
       replicas_wait = replicas_wait || job->schedulable_tasks() > 0;
       ServiceClass& service_class = classes[job->spec().job_class];
-      service_class.shape = &job->spec();
+      service_class.reserve_spec = &job->spec();
       service_class.tasks += job->spec().tasks;
     }
     for (const auto& [name, service_class] : classes) {
-      JobSpec shape = *service_class.shape;
-      shape.zone.reset();
+      JobSpec reserve_spec = *service_class.reserve_spec;
+      reserve_spec.zone.reset();
       const auto tasks =
           static_cast<std::uint32_t>(std::ceil(service_class.tasks * context_.service_reserve));
-      add(shape, tasks, DemandPurpose::reserve, replicas_wait);
+      add(reserve_spec, tasks, DemandPurpose::reserve, replicas_wait);
     }
   }
 
-  // Room for the next gang of each class that came lately, as large as the largest of them.
+  // Adds capacity for the next gang of each class that had one within `gang_capacity_retention`, as
+  // large as the largest recent gang of the class.
   void add_gang_reserves() {
     for (const auto& [name, recent] : cluster_state_.recent_gangs)
-      if (context_.wall_now - recent.last_submitted_at < constants::gang_room_kept_for)
+      if (context_.wall_now - recent.last_submitted_at < constants::gang_capacity_retention)
         add(recent.largest, recent.largest.tasks, DemandPurpose::reserve, true);
   }
 
@@ -132,8 +138,8 @@
   if (spec.kind != JobKind::array) return job.schedulable_tasks();
   const Seconds expected = expected_run_time(spec);
   const Seconds age = now - job.record.accepted_at;
-  const Seconds left = spec.deadline ? *spec.deadline - age : default_rounds * expected;
-  const double rounds = std::clamp(left / expected, 1.0, max_rounds);
+  const Seconds time_left = spec.deadline ? *spec.deadline - age : default_rounds * expected;
+  const double rounds = std::clamp(time_left / expected, 1.0, max_rounds);
   return static_cast<std::uint32_t>(std::ceil(job.schedulable_tasks() / rounds));
 }
 
--- a/src/planning/autoscaler/capacity_supply.cpp
+++ b/src/planning/autoscaler/capacity_supply.cpp
@@ -15,7 +15,7 @@
 std::int64_t service_cpus_on(const ClusterState& cluster_state, const Machine& machine) {
   std::int64_t cpus = 0;
   for (const auto& placement : machine.placements)
-    if (service_of(cluster_state, placement) != nullptr) cpus += placement.each.cpus;
+    if (service_of(cluster_state, placement) != nullptr) cpus += placement.task_resources.cpus;
   return cpus;
 }
 
@@ -36,8 +36,8 @@
   const auto found = overdue.find(offer);
   if (found == overdue.end()) return 0;
   const auto others = available.find(offer);
-  const int all = found->second + (others == available.end() ? 0 : others->second);
-  return static_cast<double>(found->second) / all;
+  const int total = found->second + (others == available.end() ? 0 : others->second);
+  return static_cast<double>(found->second) / total;
 }
 
 void CapacitySupply::add_rented_machine(const Offer& offer, const std::vector<MachineType>& types) {
@@ -72,7 +72,7 @@
     if (is_boot_overdue(machine, context.wall_now)) ++supply.composition.overdue[offer];
     if (machine.draining || !counts_as_capacity(machine, context.wall_now)) continue;
     supply.bins.push_back(
-        {offer, machine.room(), &machine, service_cpus_on(cluster_state, machine)});
+        {offer, machine.free_resources(), &machine, service_cpus_on(cluster_state, machine)});
     supply.composition.add_available(offer);
   }
   for (const auto& order : context.pending)
--- a/src/planning/autoscaler/offer_selector.cpp
+++ b/src/planning/autoscaler/offer_selector.cpp
@@ -12,15 +12,17 @@
 
 namespace {
 
-// A service counts from its submission on, so a type that boots and fetches slowly is worth less to
-// it. Arrays wait for their deadline anyway.
+// Price factor for the delay until a task starts: it doubles with each
+// `service_price_doubling_delay`. The waiting time of a service is measured from its submission, so
+// a type that boots and fetches slowly is worth less. The factor is 1 for other jobs; arrays are
+// measured by their deadline.
 double start_delay_factor(const JobSpec& spec, const MachineType& type) {
   if (spec.kind != JobKind::service) return 1;
   const Seconds delay = type.boot_time + Seconds{spec.image_gb / type.fetch_gb_per_s};
-  return std::exp2(delay / constants::service_delay_worth);
+  return std::exp2(delay / constants::service_price_doubling_delay);
 }
 
-/// On-demand and spot machines of the type in each of its zones.
+/// The on-demand and spot offers of the type in each of its zones.
 std::vector<Offer> offers_of(const protocol::MachineType& type) {
   std::vector<Offer> offers;
   offers.reserve(2 * type.zones.size());
@@ -29,10 +31,12 @@
   return offers;
 }
 
-/// The price, raised for kinds that the fleet has much of and for kinds whose boots are overdue.
+/// The price with surcharges for the offer's share of the available machines and for the share of
+/// the offer's machines whose boot is overdue.
 double weighted_price(double price, const Offer& offer, const FleetComposition& composition) {
-  // No type or zone should hold the whole fleet.
-  const double spread_factor = 1 + constants::kind_spread * composition.available_share(offer);
+  // Spreads the fleet, so that no type or zone provides all capacity.
+  const double spread_factor =
+      1 + constants::max_concentration_surcharge * composition.available_share(offer);
   return price * spread_factor * (1 + composition.overdue_share(offer));
 }
 
@@ -43,7 +47,7 @@
   std::optional<Offer> best;
   double lowest_score = 0;
   for (const auto& type : types_) {
-    const auto tasks_per_machine = spec.each.times_in(type.size);
+    const auto tasks_per_machine = spec.task_resources.times_in(type.size);
     if (tasks_per_machine <= 0) continue;
     const double delay_factor = prefer_quick_start ? start_delay_factor(spec, type) : 1;
     for (const Offer& offer : offers_of(type)) {
--- a/src/planning/autoscaler/scale_in_policy.hpp
+++ b/src/planning/autoscaler/scale_in_policy.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Which machines the fleet can do without, and which draining machines it needs after all.
+/// Selects machines to drain, and draining machines to uncordon or release.
 #pragma once
 
 #include <cstdint>
@@ -13,27 +13,36 @@
 
 namespace poppystile::planning {
 
-/// Draining machines that are wanted again: all of them if others would have to be rented, and
-/// those that fit an unplaced demand, since a machine that cannot be emptied drains for ever.
+/// Returns the ids of draining machines that shall accept tasks again, among those that count as
+/// capacity. If `machines_are_missing`, so that machines would have to be rented, it returns all of
+/// them. Otherwise it returns those with free capacity for a task of an unplaced demand, because a
+/// machine whose replicas fit nowhere else would drain forever while that demand waits.
 std::vector<std::string> choose_machines_to_uncordon(
     const cluster::ClusterState& cluster_state, WallTime now, bool machines_are_missing,
     const std::vector<const TaskDemand*>& unplaced);
 
-/// Draining machines that have run empty and are not being released yet.
+/// Returns the ids of draining machines without tasks that are not being released yet.
 std::vector<std::string> find_drained_machines(const cluster::ClusterState& cluster_state);
 
-/// Chooses the machines that exceed the highest recent demand. Keeps references to its arguments.
+/// Selects the machines beyond the highest recent demand. The constructor's arguments must outlive
+/// this object.
 class ScaleInPolicy {
  public:
-  /// `bins`: the room that is left after packing. A choice takes up the room that its replicas
-  /// will move to.
+  /// `bins` holds the free capacity that remains after packing. Selecting a machine removes its own
+  /// free capacity and reserves capacity on other machines for its replicas.
   ScaleInPolicy(const cluster::ClusterState& cluster_state, const ScalingContext& context,
                 std::vector<Bin>& bins)
       : cluster_state_(cluster_state), context_(context), bins_(bins) {}
 
-  /// Ids of machines to drain, a small share of the fleet at a time: machines without services
-  /// first, the dearest of them; then those whose few replicas fit elsewhere. Only machines of
-  /// whose room the packing used nothing are considered.
+  /// Returns the ids of machines to drain. The remaining machines have at least the CPUs of the
+  /// highest recent demand, times `constants::demand_headroom_factor`.
+  ///
+  /// Candidates are machines that have sent a heartbeat and on which nothing was packed. At most
+  /// the share `constants::max_drain_share` of them, rounded up, is selected: first those with the
+  /// fewest CPUs used by services, then those with the highest price per CPU, then those with the
+  /// fewest CPUs in use. A machine with replicas is selected only if they use at most
+  /// `constants::max_moved_cpu_share` of its CPUs and all fit on other machines that
+  /// have sent a heartbeat, already run services and cache the service's image.
   std::vector<std::string> choose_machines_to_drain();
 
  private:
@@ -45,7 +54,7 @@
   std::vector<Candidate> sorted_candidates();
   std::int64_t excess_cpus() const;
   double price_per_cpu(const cluster::Machine& machine) const;
-  bool reserve_room_for_replicas(Bin& source);
+  bool reserve_capacity_for_replicas(Bin& source);
   Bin* find_target(const protocol::JobSpec& service, const Bin& source);
 
   const cluster::ClusterState& cluster_state_;
--- a/src/planning/eligibility.cpp
+++ b/src/planning/eligibility.cpp
@@ -27,8 +27,8 @@
 }
 
 bool can_preempt_gang(const Job& gang) {
-  return std::all_of(gang.placements.begin(), gang.placements.end(), [](const auto& each) {
-    const Machine& machine = *each.second;
+  return std::all_of(gang.placements.begin(), gang.placements.end(), [](const auto& entry) {
+    const Machine& machine = *entry.second;
     return machine.has_reported && machine.has_acknowledged_token && !machine.is_overdue &&
            !machine.is_unresponsive;
   });
@@ -39,11 +39,12 @@
 }
 
 std::optional<Seconds> completion_target(const JobSpec& job,
-                                         const std::vector<protocol::FinishAim>& aims) {
+                                         const std::vector<protocol::FinishObjective>& aims) {
   if (job.deadline) return job.deadline;
   std::optional<Seconds> target;
   for (const auto& aim : aims)
-    if (aim.job_class == job.job_class) target = std::min(target.value_or(aim.within), aim.within);
+    if (aim.job_class == job.job_class)
+      target = std::min(target.value_or(aim.time_limit), aim.time_limit);
   return target;
 }
 
--- a/src/planning/gang_placement.cpp
+++ b/src/planning/gang_placement.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// Whether the machine is in `zone`; an empty name stands for every zone.
+/// Whether the machine is in `zone`; every machine is if `zone` is empty.
 bool is_in_zone(const MachineSlot& slot, const std::string& zone) {
   return zone.empty() || slot.machine->zone == zone;
 }
@@ -24,24 +24,24 @@
 
 void GangPlacement::place(const Job& job) {
   if (place_all_tasks(job)) return;
-  // A replacement cannot wait until other work has stopped: the attempt would run out of time.
+  // Replacements cannot wait until preempted tasks have stopped: the attempt would time out.
   if (!job.placements.empty()) return;
   const std::string& id = job.spec().id;
   if (draft_.quotas().remaining_tasks(job.spec()) < job.schedulable_tasks()) {
     draft_.record_waiting_gang(id, GangWaitReason::team_limit);
-  } else if (make_room(job)) {
-    return draft_.record_waiting_gang(id, GangWaitReason::making_room);
+  } else if (preempt_in_any_zone(job)) {
+    return draft_.record_waiting_gang(id, GangWaitReason::resources_being_freed);
   } else {
-    draft_.record_waiting_gang(id, GangWaitReason::no_room);
+    draft_.record_waiting_gang(id, GangWaitReason::insufficient_resources);
   }
-  reserve_free_room(job);
+  reserve_free_resources(job);
 }
 
 bool GangPlacement::place_all_tasks(const Job& job) {
   const JobSpec& spec = job.spec();
   if (draft_.quotas().remaining_tasks(spec) < job.schedulable_tasks()) return false;
   std::optional<Assignment> best;
-  for (const std::string& zone : zones_for(spec)) {
+  for (const std::string& zone : zones_to_try(spec)) {
     auto found = find_assignment(job, zone);
     if (found && (!best || found->fetch_time < best->fetch_time)) best = std::move(found);
   }
@@ -51,14 +51,14 @@
   return true;
 }
 
-bool GangPlacement::make_room(const Job& job) {
-  const auto zones = zones_for(job.spec());
+bool GangPlacement::preempt_in_any_zone(const Job& job) {
+  const auto zones = zones_to_try(job.spec());
   return std::any_of(zones.begin(), zones.end(), [&](const std::string& zone) {
-    return preemption_.make_room_for_gang(job, zone);
+    return preemption_.reserve_for_gang(job, zone);
   });
 }
 
-std::vector<std::string> GangPlacement::zones_for(const JobSpec& job) const {
+std::vector<std::string> GangPlacement::zones_to_try(const JobSpec& job) const {
   if (!job.one_zone) return {""};
   std::set<std::string> zones;
   for (const auto& slot : draft_.slots()) zones.insert(slot.machine->zone);
@@ -70,9 +70,9 @@
   std::vector<MachineSlot*> candidates;
   for (auto& slot : draft_.slots()) {
     if (!is_in_zone(slot, zone)) continue;
-    // A machine that lost a task of this attempt may get its start once more, and would then run
-    // it beside the replacement.
-    if (job.gang.left.contains(slot.machine->id)) continue;
+    // The start command of a lost task may reach its former machine again, which would then run
+    // the task beside its replacement.
+    if (job.gang.machines_with_lost_tasks.contains(slot.machine->id)) continue;
     if (draft_.fits(slot, spec)) candidates.push_back(&slot);
   }
   std::sort(candidates.begin(), candidates.end(), [&](const MachineSlot* a, const MachineSlot* b) {
@@ -89,40 +89,40 @@
                                                                         const std::string& zone) {
   const JobSpec& spec = job.spec();
   Assignment assignment;
-  std::uint32_t missing = job.schedulable_tasks();
+  std::uint32_t unassigned_tasks = job.schedulable_tasks();
   std::map<std::string, std::uint32_t> remaining_by_zone;
   for (MachineSlot* slot : find_candidates(job, zone)) {
     const std::string& slot_zone = slot->machine->zone;
     const std::uint32_t zone_limit = draft_.zone_limits().remaining_tasks(spec, slot_zone);
     auto& remaining = remaining_by_zone.try_emplace(slot_zone, zone_limit).first->second;
-    const std::uint32_t count = std::min({slot->task_capacity(spec), missing, remaining});
+    const std::uint32_t count = std::min({slot->task_capacity(spec), unassigned_tasks, remaining});
     if (count == 0) continue;
     assignment.shares.push_back({slot, count});
     assignment.fetch_time = std::max(assignment.fetch_time, image_fetch_time(*slot, spec));
     remaining -= count;
-    missing -= count;
-    if (missing == 0) return assignment;
+    unassigned_tasks -= count;
+    if (unassigned_tasks == 0) return assignment;
   }
   return std::nullopt;
 }
 
 bool GangPlacement::may_reserve(const Job& job) const {
   const Seconds waited = draft_.context().wall_now - job.record.accepted_at;
-  const Seconds in_period{
+  const Seconds time_in_period{
       std::fmod(std::max(0.0, waited.count()), constants::gang_reservation_period.count())};
-  return in_period < constants::gang_reservation_time;
+  return time_in_period < constants::gang_reservation_time;
 }
 
 std::optional<std::string> GangPlacement::find_zone_to_reserve(const Job& job) const {
   const JobSpec& spec = job.spec();
   std::optional<std::string> best_zone;
   std::uint32_t most_free_tasks = 0;
-  for (const std::string& zone : zones_for(spec)) {
+  for (const std::string& zone : zones_to_try(spec)) {
     std::int64_t attainable_tasks = 0;
     std::uint32_t free_tasks = 0;
     for (const auto& slot : draft_.slots()) {
       if (!is_in_zone(slot, zone) || !may_run_on(spec, *slot.machine)) continue;
-      attainable_tasks += spec.each.times_in(slot.array_capacity);
+      attainable_tasks += spec.task_resources.times_in(slot.array_capacity);
       free_tasks += slot.task_capacity(spec);
     }
     if (attainable_tasks < job.schedulable_tasks()) continue;
@@ -133,15 +133,16 @@
   return best_zone;
 }
 
-void GangPlacement::reserve_free_room(const Job& job) {
+void GangPlacement::reserve_free_resources(const Job& job) {
   if (!may_reserve(job)) return;
   const auto zone = find_zone_to_reserve(job);
   if (!zone) return;
   const JobSpec& spec = job.spec();
-  std::uint32_t missing = job.schedulable_tasks();
-  draft_.quotas().add(spec, missing);
+  std::uint32_t unassigned_tasks = job.schedulable_tasks();
+  draft_.quotas().add(spec, unassigned_tasks);
   for (MachineSlot* slot : find_candidates(job, *zone))
-    for (; missing > 0 && draft_.fits(*slot, spec); --missing) draft_.reserve(*slot, spec);
+    for (; unassigned_tasks > 0 && draft_.fits(*slot, spec); --unassigned_tasks)
+      draft_.reserve(*slot, spec);
 }
 
 }  // namespace poppystile::planning
--- a/src/planning/job_order.cpp
+++ b/src/planning/job_order.cpp
@@ -40,23 +40,23 @@
 
 SchedulingKey JobOrder::make_key(const Job& job) const {
   const WallTime submitted = job.record.accepted_at;
-  const Seconds allowed =
-      constants::overdue_target_factor * completion_target(job.spec(), *context_.finish_aims)
+  const Seconds time_limit =
+      constants::overdue_target_factor * completion_target(job.spec(), *context_.finish_objectives)
                                              .value_or(constants::default_completion_target);
-  const WallTime latest_start = submitted + allowed - expected_run_time(job.spec());
+  const WallTime latest_start = submitted + time_limit - expected_run_time(job.spec());
   if (context_.wall_now <= latest_start) return {DeadlineStatus::attainable, latest_start};
   return {DeadlineStatus::missed, submitted};
 }
 
 bool JobOrder::is_starved(const Job& job) const {
-  return has_not_begun_for(job, constants::starvation_wait);
+  return has_waited_longer_than(job, constants::starvation_wait);
 }
 
 bool JobOrder::is_first_task_overdue(const Job& job) const {
-  return has_not_begun_for(job, constants::max_first_task_wait);
+  return has_waited_longer_than(job, constants::max_first_task_wait);
 }
 
-bool JobOrder::has_not_begun_for(const Job& job, Seconds wait) const {
+bool JobOrder::has_waited_longer_than(const Job& job, Seconds wait) const {
   return job.waiting() == job.spec().tasks && context_.wall_now - job.record.accepted_at > wait;
 }
 
@@ -70,8 +70,8 @@
     std::int64_t cpus = 0;
     std::int64_t gpus = 0;
     for (const Job* job : jobs) {
-      cpus += job->spec().each.cpus * job->spec().tasks;
-      gpus += job->spec().each.gpus * job->spec().tasks;
+      cpus += job->spec().task_resources.cpus * job->spec().tasks;
+      gpus += job->spec().task_resources.gpus * job->spec().tasks;
       if (cpus <= std::llround(team.cpus * 1000) && gpus <= std::llround(team.gpus * 1000))
         guaranteed_.insert(job);
     }
--- a/src/planning/labl.cpp
+++ b/src/planning/labl.cpp
@@ -14,7 +14,8 @@
 
 namespace {
 
-/// The unit by which the latency limit rises: the cost of an average local task.
+/// The unit in which the latency limit is raised: the mean cost of a local task, over the tasks
+/// that a server may run; 0 when there are none.
 double mean_task_cost(const std::vector<LablJob>& jobs) {
   double sum = 0;
   double tasks = 0;
@@ -27,10 +28,10 @@
   return tasks == 0 ? 0 : sum / tasks;
 }
 
-/// Whether a job's tasks find their image on a server.
+/// Whether a server has the image of a job's tasks.
 enum class Locality : bool { remote, local };
 
-/// The algorithm of figure 1. Jobs and servers are named by their positions in the input.
+/// The algorithm of figure 1. Jobs and servers are identified by their indices in the input.
 class LablAssigner {
  public:
   LablAssigner(std::vector<LablJob> jobs, const std::vector<LablServer>& servers,
@@ -72,14 +73,15 @@
 
   /// Shifts the loads so that the least loaded server starts at 0, as the paper assumes (3.1).
   void normalise_loads(const std::vector<LablServer>& servers) {
-    double least = std::numeric_limits<double>::max();
-    for (const auto& each : servers) least = std::min(least, each.load);
+    double min_load = std::numeric_limits<double>::max();
+    for (const auto& input : servers) min_load = std::min(min_load, input.load);
     plan_.load.reserve(servers.size());
-    for (const auto& each : servers) plan_.load.push_back(each.load - least);
+    for (const auto& input : servers) plan_.load.push_back(input.load - min_load);
   }
 
-  /// Phase I: servers with less room than a remote task needs, the most loaded first, take the
-  /// local tasks that have the fewest servers to choose from.
+  /// Phase I: servers below the limit, but not by enough for a remote task, are filled with local
+  /// tasks, the most loaded server first. Each takes tasks of the job with the fewest local
+  /// servers.
   void run_phase_1() {
     std::vector<std::size_t> nearly_full;
     for (std::size_t server = 0; server < plan_.load.size(); ++server)
@@ -92,14 +94,15 @@
       while (const auto job = most_constrained_job(server)) assign(*job, server);
   }
 
-  /// The paper's CONSIDERREMOTEASSIGNMENTS: only near the lower bound are remote tasks worth it.
+  /// The paper's CONSIDERREMOTEASSIGNMENTS: whether the limit is still so near to the lower bound
+  /// that remote tasks are worth their cost.
   bool considers_remote_assignments() const {
     return plan_.latency_limit <=
            plan_.lower_bound + weights_.remote_offset * unit_cost_ + constants::labl_rounding_slack;
   }
 
-  /// Phase II: tasks none of whose local servers is below the limit go to the least loaded
-  /// servers that have room for a remote task.
+  /// Phase II: tasks of jobs without a local server below the limit are assigned to the least
+  /// loaded remote servers, as far as these stay within the limit.
   void run_phase_2() {
     for (std::size_t job = 0; job < jobs_.size(); ++job)
       while (jobs_[job].task_count > 0) {
@@ -111,7 +114,7 @@
       }
   }
 
-  /// Phase III: the other tasks go to their best server, as far as the limit allows.
+  /// Phase III: the other tasks are assigned to their best server, as far as the limit allows.
   void run_phase_3() {
     for (std::size_t job = 0; job < jobs_.size(); ++job)
       while (jobs_[job].task_count > 0) {
@@ -121,29 +124,31 @@
       }
   }
 
-  /// Raises the limit by a unit, or by as many as the next assignment takes if the round made
-  /// none. Returns false when no server may ever run what is left.
+  /// Raises the limit by one unit or, if the round has assigned nothing, by as many units as the
+  /// next assignment needs. Returns false when no server may run any of the unassigned tasks.
   bool raise_latency_limit(bool assigned_any) {
     plan_.latency_limit += unit_cost_;
     if (assigned_any) return true;
-    const std::optional<double> needed = least_sufficient_limit();
-    if (!needed) return false;
-    if (*needed > plan_.latency_limit)
-      plan_.latency_limit += std::ceil((*needed - plan_.latency_limit) / unit_cost_) * unit_cost_;
+    const std::optional<double> sufficient_limit = least_sufficient_limit();
+    if (!sufficient_limit) return false;
+    if (*sufficient_limit > plan_.latency_limit)
+      plan_.latency_limit +=
+          std::ceil((*sufficient_limit - plan_.latency_limit) / unit_cost_) * unit_cost_;
     return true;
   }
 
-  /// The least load that a server can have after its next assignment.
+  /// The least limit that allows another assignment; nothing when no server may run any of the
+  /// unassigned tasks.
   std::optional<double> least_sufficient_limit() {
-    std::optional<double> least;
+    std::optional<double> min_load;
     for (std::size_t job = 0; job < jobs_.size(); ++job) {
       if (jobs_[job].task_count == 0) continue;
       const auto server = best_server(job);
       if (!server) continue;
       const double load = plan_.load[*server] + task_cost(job, *server);
-      if (!least || load < *least) least = load;
+      if (!min_load || load < *min_load) min_load = load;
     }
-    return least;
+    return min_load;
   }
 
   double task_cost(std::size_t job, std::size_t server) const {
@@ -172,39 +177,42 @@
     }
   }
 
-  /// Of the jobs with a local task that `server` can take, the one with the fewest local servers.
+  /// The job with the fewest local servers among those with a task that is local on `server` and
+  /// within the limit there; nothing when there is none.
   std::optional<std::size_t> most_constrained_job(std::size_t server) const {
     std::optional<std::size_t> best;
     for (std::size_t job = 0; job < jobs_.size(); ++job) {
-      const LablJob& each = jobs_[job];
-      if (each.task_count == 0 || !each.has_image[server] || each.local_cost[server] <= 0) continue;
+      const LablJob& input = jobs_[job];
+      if (input.task_count == 0 || !input.has_image[server] || input.local_cost[server] <= 0)
+        continue;
       if (!is_within_limit(job, server)) continue;
       if (!best || local_server_counts_[job] < local_server_counts_[*best]) best = job;
     }
     return best;
   }
 
-  /// The least loaded local server, or a remote one.
+  /// The least loaded local server, or the least loaded remote one if a task would end there before
+  /// that local server could start it; nothing when no server may run the job.
   std::optional<std::size_t> best_server(std::size_t job) {
     const auto local = least_loaded_server(job, Locality::local);
     const auto remote = least_loaded_server(job, Locality::remote);
-    // Not in the paper: fetch where a remote task ends before the least loaded local server is
-    // free.
+    // Not in the paper: the remote server is chosen if a task would end there before the least
+    // loaded local server could start it.
     const bool is_remote_sooner =
         remote && (!local || plan_.load[*remote] + task_cost(job, *remote) < plan_.load[*local]);
     return is_remote_sooner ? remote : local;
   }
 
   std::optional<std::size_t> least_loaded_server(std::size_t job, Locality locality) {
-    const bool wants_image = locality == Locality::local;
-    ServerLoadHeap& heap = wants_image ? server_heaps_[job].local : server_heaps_[job].remote;
-    const LablJob& each = jobs_[job];
-    const auto is_member = [&each, wants_image](std::size_t server) {
-      return (each.has_image[server] != 0) == wants_image;
+    const bool is_local = locality == Locality::local;
+    ServerLoadHeap& heap = is_local ? server_heaps_[job].local : server_heaps_[job].remote;
+    const LablJob& input = jobs_[job];
+    const auto is_member = [&input, is_local](std::size_t server) {
+      return (input.has_image[server] != 0) == is_local;
     };
     if (!heap.is_built())
       heap.build(plan_.load, [&](std::size_t server) {
-        return each.local_cost[server] > 0 && is_member(server);
+        return input.local_cost[server] > 0 && is_member(server);
       });
     return heap.least_loaded(plan_.load, is_member);
   }
@@ -213,8 +221,8 @@
   LablWeights weights_;
   double unit_cost_;
   LablPlan plan_;
-  std::vector<std::ptrdiff_t> local_server_counts_;  // by job (the paper's |rho(t)|)
-  std::vector<ServerHeaps> server_heaps_;            // by job
+  std::vector<std::ptrdiff_t> local_server_counts_;  // for each job, the paper's |rho(t)|
+  std::vector<ServerHeaps> server_heaps_;            // for each job
   std::uint64_t unassigned_tasks_ = 0;
 };
 
--- a/src/planning/labl_lower_bound.cpp
+++ b/src/planning/labl_lower_bound.cpp
@@ -11,28 +11,31 @@
 
 namespace {
 
-/// What the search needs of a job, computed once.
+/// Values of one job that the search for the bound uses repeatedly.
 struct JobDemand {
   double task_count = 0;
   double local_cost = 0;
   double least_local_load = 0;  // load of the least loaded server that has the image
 };
 
-/// Tasks and cost that a latency limit demands of the servers, or that the servers have room for.
+/// An amount of work: the jobs' demand under a latency limit, or the servers' capacity within it.
 struct WorkAmount {
   double remote_tasks = 0;
   double cost = 0;
 };
 
-/// More than any limit where no server has the image.
+/// The load of the least loaded server that may run the job and has its image; more than any limit
+/// when there is none.
 double least_local_load(const LablJob& job, const std::vector<double>& load) {
-  double least = std::numeric_limits<double>::max();
+  double min_load = std::numeric_limits<double>::max();
   for (std::size_t server = 0; server < load.size(); ++server)
-    if (job.has_image[server] && job.local_cost[server] > 0) least = std::min(least, load[server]);
-  return least;
+    if (job.has_image[server] && job.local_cost[server] > 0)
+      min_load = std::min(min_load, load[server]);
+  return min_load;
 }
 
-/// The tasks in T_rem, and the paper's a[l].
+/// The number of tasks that can only run remotely under `limit` (the paper's T_rem), and the least
+/// cost of all tasks (the paper's a[l]).
 WorkAmount demand_within(double limit, const std::vector<JobDemand>& jobs,
                          const LablWeights& weights) {
   WorkAmount demand;
@@ -45,14 +48,15 @@
   return demand;
 }
 
-/// The remote tasks that S_sup has room for, and the room of all servers.
+/// The number of remote tasks that the servers can take within `limit` (the paper's S_sup: servers
+/// that can take at least one), and the cost that all servers together can take within it.
 WorkAmount capacity_within(double limit, const std::vector<double>& load, double remote_cost) {
   WorkAmount capacity;
-  for (double each : load) {
-    capacity.cost += std::max(0.0, limit - each);
-    if (limit - each >= remote_cost)
+  for (double server_value : load) {
+    capacity.cost += std::max(0.0, limit - server_value);
+    if (limit - server_value >= remote_cost)
       capacity.remote_tasks +=
-          std::floor((limit - each) / remote_cost + constants::labl_rounding_slack);
+          std::floor((limit - server_value) / remote_cost + constants::labl_rounding_slack);
   }
   return capacity;
 }
@@ -62,9 +66,9 @@
 double mean_local_cost(const LablJob& job) {
   double sum = 0;
   int servers = 0;
-  for (double each : job.local_cost) {
-    if (each <= 0) continue;
-    sum += each;
+  for (double server_value : job.local_cost) {
+    if (server_value <= 0) continue;
+    sum += server_value;
     ++servers;
   }
   return servers == 0 ? 0 : sum / servers;
--- a/src/planning/planner.cpp
+++ b/src/planning/planner.cpp
@@ -23,16 +23,16 @@
 /// Jobs with tasks that may be placed now.
 struct SchedulableJobs {
   std::vector<const Job*> services;
-  std::vector<const Job*> starved_arrays;  // of every priority
+  std::vector<const Job*> starved_arrays;  // Starved arrays of all priorities.
   JobsByPriority gangs;
-  JobsByPriority arrays;  // without the starved ones
+  JobsByPriority arrays;  // All other arrays.
 
   bool is_empty() const {
     return services.empty() && starved_arrays.empty() && gangs.empty() && arrays.empty();
   }
 };
 
-/// Whether a gang may be placed as a whole, or lost tasks of it be replaced.
+/// Whether a new attempt of the gang may be placed, or lost tasks of its attempt be replaced.
 bool is_gang_schedulable(const Job& gang, const PlanningContext& context) {
   return gang.placements.empty() ||
          gang.may_replace_tasks(context.now, context.gang_task_replacement_window);
@@ -75,11 +75,11 @@
 const char* to_string(GangWaitReason reason) {
   switch (reason) {
     case GangWaitReason::team_limit:
-      return "team limit";
-    case GangWaitReason::no_room:
-      return "no room for all tasks";
-    case GangWaitReason::making_room:
-      return "room is being made";
+      return "the team's remaining quota is too small for all tasks";
+    case GangWaitReason::insufficient_resources:
+      return "not enough resources for all tasks at once";
+    case GangWaitReason::resources_being_freed:
+      return "other tasks are stopping to free resources";
   }
   return "";
 }
@@ -98,12 +98,13 @@
   array_placement.place_batches(schedulable.starved_arrays);
   GangPlacement gang_placement(draft, preemption);
   for (int priority = static_cast<int>(protocol::Priority::production); priority >= 0; --priority) {
-    // Gangs first: they need room for all tasks at once, which arrays would take task by task.
+    // Gangs before arrays: a gang needs resources for all its tasks at once, which arrays would use
+    // up one task at a time.
     for (const Job* gang : schedulable.gangs[priority]) gang_placement.place(*gang);
     const auto& arrays = schedulable.arrays[priority];
     array_placement.place_batches(arrays);
     array_placement.place_guaranteed(arrays);
-    array_placement.place_where_image_is(arrays);
+    array_placement.place_on_machines_with_image(arrays);
     array_placement.place_overdue_first_tasks(arrays);
   }
   return draft.take_plan();
--- a/src/protocol/cbor_array.cpp
+++ b/src/protocol/cbor_array.cpp
@@ -7,27 +7,30 @@
 
 namespace {
 
-/// What the heads of a frame's items claim.
-struct SizeClaims {
+/// The array sizes that the item heads of a frame declare, checked against the frame's size.
+struct DeclaredSizes {
   std::size_t max_items = 0;
   bool plausible = true;
 };
 
+/// Whether every item of the frame is well-formed, none is a map of definite size, and no array of
+/// definite size declares more items than the frame has bytes. Allocates no items.
 bool has_plausible_sizes(const std::string& frame) {
-  SizeClaims claims{frame.size()};
+  DeclaredSizes declared{frame.size()};
   cbor_callbacks callbacks = cbor_empty_callbacks;
   callbacks.array_start = [](void* context, std::size_t size) {
-    auto* seen = static_cast<SizeClaims*>(context);
-    seen->plausible = seen->plausible && size <= seen->max_items;
+    auto* sizes = static_cast<DeclaredSizes*>(context);
+    sizes->plausible = sizes->plausible && size <= sizes->max_items;
   };
   callbacks.map_start = [](void* context, std::size_t) {
-    static_cast<SizeClaims*>(context)->plausible = false;
+    static_cast<DeclaredSizes*>(context)->plausible = false;
   };
   const auto* data = reinterpret_cast<cbor_data>(frame.data());
-  for (std::size_t at = 0; at < frame.size();) {
-    const auto step = cbor_stream_decode(data + at, frame.size() - at, &callbacks, &claims);
-    if (step.status != CBOR_DECODER_FINISHED || step.read == 0 || !claims.plausible) return false;
-    at += step.read;
+  for (std::size_t offset = 0; offset < frame.size();) {
+    const auto step =
+        cbor_stream_decode(data + offset, frame.size() - offset, &callbacks, &declared);
+    if (step.status != CBOR_DECODER_FINISHED || step.read == 0 || !declared.plausible) return false;
+    offset += step.read;
   }
   return true;
 }
@@ -40,7 +43,7 @@
 
 CborArrayWriter::CborArrayWriter(std::size_t size) : array_(cbor_new_definite_array(size)) {}
 
-// The array holds a reference of its own.
+// `cbor_array_push` takes its own reference, so the reference of `item` is released here.
 void CborArrayWriter::push(CborItem item) { (void)cbor_array_push(array_.get(), item.get()); }
 
 void CborArrayWriter::add(std::uint64_t value) { push(CborItem(cbor_build_uint64(value))); }
--- a/src/protocol/peer_messages.cpp
+++ b/src/protocol/peer_messages.cpp
@@ -8,45 +8,47 @@
 
 namespace {
 
-// Of the form of a status; other forms are refused.
+// Version of the status format; frames of any other version are rejected.
 constexpr std::uint64_t version = 4;
-// The version, ten values, counts and cancellations.
+// Top-level items of a status: the version, ten single values, the list of job counts and the list
+// of cancelled jobs.
 constexpr std::size_t status_fields = 13;
+// Items per job in the flat list of job counts: the job id and two counts.
 constexpr std::size_t fields_per_count = 3;
 
 CborArrayWriter encode_counts(const std::vector<JobCounts>& counts) {
   CborArrayWriter out(counts.size() * fields_per_count);
-  for (const auto& each : counts) {
-    out.add(each.job);
-    out.add(each.done);
-    out.add(each.running);
+  for (const auto& item : counts) {
+    out.add(item.job);
+    out.add(item.done);
+    out.add(item.running);
   }
   return out;
 }
 
 CborArrayWriter encode_ids(const std::vector<std::string>& ids) {
   CborArrayWriter out(ids.size());
-  for (const auto& each : ids) out.add(each);
+  for (const auto& item : ids) out.add(item);
   return out;
 }
 
 WallTime read_time(CborArrayReader& reader) { return WallTime{Seconds{reader.read_double()}}; }
 
-/// Whether the array held counts and nothing else.
+/// Appends the job counts to `out`; false if the array contains anything else.
 bool read_counts(CborArrayReader reader, std::vector<JobCounts>& out) {
   if (!reader.ok() || reader.size() % fields_per_count != 0) return false;
   const std::size_t count = reader.size() / fields_per_count;
   for (std::size_t i = 0; i < count && reader.ok(); ++i) {
-    JobCounts each;
-    each.job = reader.read_text();
-    each.done = reader.read_number();
-    each.running = reader.read_number();
-    out.push_back(std::move(each));
+    JobCounts item;
+    item.job = reader.read_text();
+    item.done = reader.read_number();
+    item.running = reader.read_number();
+    out.push_back(std::move(item));
   }
   return reader.ok();
 }
 
-/// Whether the array held texts and nothing else.
+/// Appends the ids to `out`; false if the array contains anything but texts.
 bool read_ids(CborArrayReader reader, std::vector<std::string>& out) {
   const std::size_t count = reader.size();
   for (std::size_t i = 0; i < count && reader.ok(); ++i) out.push_back(reader.read_text());
@@ -69,7 +71,7 @@
   out.add(status.redirected_heartbeats);
   out.add(encode_counts(status.counts));
   out.add(encode_ids(status.cancelled));
-  out.add_flag(status.all_cancelled);
+  out.add_flag(status.cancelled_is_complete);
   return out.serialize();
 }
 
@@ -88,7 +90,7 @@
   out.redirected_heartbeats = reader.read_number();
   const bool has_counts = read_counts(reader.read_array(), out.counts);
   const bool has_cancelled = read_ids(reader.read_array(), out.cancelled);
-  out.all_cancelled = reader.read_flag();
+  out.cancelled_is_complete = reader.read_flag();
   if (!has_counts || !has_cancelled || !reader.ok()) return std::nullopt;
   return out;
 }
--- a/src/protocol/properties.cpp
+++ b/src/protocol/properties.cpp
@@ -15,13 +15,13 @@
 namespace poppystile::protocol {
 
 Properties::Properties()
-    : idle_keep(constants::idle_keep),
+    : idle_capacity_retention(constants::idle_capacity_retention),
       service_reserve(constants::service_reserve),
       remote_offset_units(constants::remote_offset_units) {}
 
 namespace {
 
-/// The range of a key's value, and where it goes.
+/// The allowed range of a key's value, and the function that stores it.
 struct PropertyRule {
   double min;
   double max;
@@ -31,7 +31,8 @@
 const std::map<std::string, PropertyRule>& property_rules() {
   static const std::map<std::string, PropertyRule> rules = {
       {"fleet.idle-keep-s",
-       {0, 3600, [](Properties& out, double value) { out.idle_keep = Seconds{value}; }}},
+       {0, 3600,
+        [](Properties& out, double value) { out.idle_capacity_retention = Seconds{value}; }}},
       {"fleet.service-reserve",
        {0, 2, [](Properties& out, double value) { out.service_reserve = value; }}},
       {"planner.remote-offset-units",
@@ -40,7 +41,7 @@
   return rules;
 }
 
-/// The Levenshtein distance, for the hint in the error about an unknown key.
+/// The Levenshtein distance of two keys.
 std::size_t edit_distance(const std::string& a, const std::string& b) {
   std::vector<std::size_t> row(b.size() + 1);
   for (std::size_t j = 0; j <= b.size(); ++j) row[j] = j;
@@ -56,22 +57,25 @@
   return row.back();
 }
 
+/// The known key most similar to `key`, as a hint in the error about an unknown key.
 std::string nearest_key(const std::string& key) {
   std::string best;
-  std::size_t least = std::numeric_limits<std::size_t>::max();
+  std::size_t min_distance = std::numeric_limits<std::size_t>::max();
   for (const auto& [name, rule] : property_rules()) {
-    if (const auto distance = edit_distance(key, name); distance < least) {
-      least = distance;
+    if (const auto distance = edit_distance(key, name); distance < min_distance) {
+      min_distance = distance;
       best = name;
     }
   }
   return best;
 }
 
+/// Parses the value of one key and stores it in `out`; throws DecodeError if the key is unknown or
+/// the value is not a number in its range.
 void apply(Properties& out, const std::string& key, const std::string& text) {
   const auto rule = property_rules().find(key);
   if (rule == property_rules().end())
-    throw DecodeError("unknown key " + key + ", the nearest is " + nearest_key(key));
+    throw DecodeError("unknown key " + key + ", the most similar known key is " + nearest_key(key));
   const auto& [min, max, set] = rule->second;
   double value = 0;
   const char* end = text.data() + text.size();
@@ -88,7 +92,7 @@
   Properties out;
   if (path.empty()) return out;
   std::ifstream file(path);
-  if (!file) throw DecodeError("cannot be read");
+  if (!file) throw DecodeError("cannot open the properties file for reading");
   log4cplus::helpers::Properties read(file);
   for (const auto& key : read.propertyNames()) apply(out, key, read.getProperty(key));
   return out;
--- a/src/protocol/state_messages.cpp
+++ b/src/protocol/state_messages.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-// Fields of a single message.
+// Fields that only one message has.
 constexpr const char* failed_keys_field = "failed";
 constexpr const char* lease_ttl_field = "ttl_ms";
 
-// The state service's text for a lease that it does not know.
+// Text of the state service's error response about an unknown lease.
 constexpr const char* unknown_lease_text = "no such lease";
 
 std::string field_prefix(const char* name) {
@@ -24,7 +24,7 @@
   return Json{{wire::key, condition.key}, {wire::version, condition.version}}.dump();
 }
 
-// Values are JSON text already, so the change is put together around them.
+// Values are JSON text already, so the change is concatenated instead of built as a Json object.
 std::string encode_change(const Change& change) {
   if (!change.value) return Json{{wire::remove, change.key}}.dump();
   std::string out = "{";
@@ -45,9 +45,9 @@
 template <typename Item>
 std::string encode_list(const std::vector<Item>& items, std::string (*encode)(const Item&)) {
   std::string out = "[";
-  for (const auto& each : items) {
+  for (const auto& item : items) {
     if (out.size() > 1) out += ",";
-    out += encode(each);
+    out += encode(item);
   }
   return out + "]";
 }
@@ -115,8 +115,8 @@
 EntryPage parse_entries(const std::string& body) {
   const Json root = parse_object(body);
   EntryPage out;
-  for (const Json& each : need_list(root, "entries"))
-    out.entries.push_back(parse_entry_object(each));
+  for (const Json& item : need_list(root, "entries"))
+    out.entries.push_back(parse_entry_object(item));
   out.more = need_flag(root, wire::more);
   out.revision = need_count(root, wire::revision);
   return out;
@@ -126,11 +126,11 @@
   const Json root = parse_object(body);
   WatchPage out;
   out.revision = need_count(root, wire::revision);
-  for (const Json& each : need_list(root, "log")) out.events.push_back(parse_watch_event(each));
+  for (const Json& item : need_list(root, "log")) out.events.push_back(parse_watch_event(item));
   return out;
 }
 
-bool names_expired_lease(const std::string& body) {
+bool reports_expired_lease(const std::string& body) {
   return body.find(unknown_lease_text) != std::string::npos;
 }
 
--- a/src/protocol/submission.cpp
+++ b/src/protocol/submission.cpp
@@ -13,10 +13,10 @@
 
 constexpr std::string_view id_prefix = "req-";
 
-// CPUs, GPUs or GB; keeps sums over all tasks of a job far below the largest integer.
+// CPUs, GPUs or GB; keeps the sum over all tasks of a job far below the largest 64-bit integer.
 constexpr double max_task_amount = 1e9;
 
-// Fields of a submission alone.
+// Fields that only submissions have.
 constexpr const char* job_class_field = "lane";
 constexpr const char* team_field = "crew";
 constexpr const char* priority_field = "rank";
@@ -29,18 +29,22 @@
 constexpr const char* checkpoint_save_time_field = "mark_cost_s";
 constexpr const char* deadline_field = "due_s";
 
-// In the order of the enumerators.
-constexpr std::array<const char*, 3> kind_words = {"sweep", "standing", "gang"};
-constexpr std::array<const char*, 4> priority_words = {"idle", "normal", "high", "production"};
+// Wire values in the order of the enumerators.
+constexpr std::array<const char*, 3> kind_values = {"sweep", "standing", "gang"};
+constexpr std::array<const char*, 4> priority_values = {"idle", "normal", "high", "production"};
 
+/// Reads an enumerator by its wire value; `wire_values` lists the wire values in the order of
+/// `Enum`.
 template <typename Enum, std::size_t count>
-Enum need_enum(const Json& body, const char* name, const std::array<const char*, count>& words) {
-  const std::string word = need_text(body, name);
-  const auto found = std::find(words.begin(), words.end(), word);
-  if (found == words.end()) throw DecodeError(name, "is unknown");
-  return static_cast<Enum>(found - words.begin());
+Enum need_enum(const Json& body, const char* name,
+               const std::array<const char*, count>& wire_values) {
+  const std::string wire_value = need_text(body, name);
+  const auto found = std::find(wire_values.begin(), wire_values.end(), wire_value);
+  if (found == wire_values.end()) throw DecodeError(name, "is unknown");
+  return static_cast<Enum>(found - wire_values.begin());
 }
 
+/// Reads a text of 1 to `constants::max_name_bytes` bytes.
 std::string need_name(const Json& body, const char* name) {
   std::string text = need_text(body, name);
   if (text.empty() || text.size() > constants::max_name_bytes)
@@ -60,16 +64,17 @@
   return static_cast<std::uint32_t>(tasks);
 }
 
+/// Reads the resources of one task, which must include some CPU.
 Resources need_task_resources(const Json& body) {
-  const Resources each = parse_resources(body, max_task_amount);
-  if (each.cpus <= 0) throw DecodeError(wire::cpus, "out of range");
-  return each;
+  const Resources resources = parse_resources(body, max_task_amount);
+  if (resources.cpus <= 0) throw DecodeError(wire::cpus, "out of range");
+  return resources;
 }
 
 }  // namespace
 
 bool valid_job_id(const std::string& id) {
-  return id.size() > id_prefix.size() && id.size() <= constants::max_id_bytes &&
+  return id.size() > id_prefix.size() && id.size() <= constants::max_job_id_bytes &&
          id.starts_with(id_prefix) &&
          std::all_of(id.begin() + id_prefix.size(), id.end(),
                      [](unsigned char c) { return c >= '0' && c <= '9'; });
@@ -80,10 +85,10 @@
   job.id = need_job_id(body);
   job.job_class = need_name(body, job_class_field);
   job.team = need_name(body, team_field);
-  job.kind = need_enum<JobKind>(body, wire::job_kind, kind_words);
-  job.priority = need_enum<Priority>(body, priority_field, priority_words);
+  job.kind = need_enum<JobKind>(body, wire::job_kind, kind_values);
+  job.priority = need_enum<Priority>(body, priority_field, priority_values);
   job.tasks = need_task_count(body);
-  job.each = need_task_resources(body);
+  job.task_resources = need_task_resources(body);
   if (find(body, wire::machine_types) != nullptr) job.types = need_texts(body, wire::machine_types);
   if (find(body, wire::zone) != nullptr) job.zone = need_text(body, wire::zone);
   job.one_zone = need_flag(body, one_zone_field);
@@ -102,8 +107,8 @@
   Json out = {{wire::job_id, job.id},
               {job_class_field, job.job_class},
               {team_field, job.team},
-              {wire::job_kind, kind_words.at(static_cast<std::size_t>(job.kind))},
-              {priority_field, priority_words.at(static_cast<std::size_t>(job.priority))},
+              {wire::job_kind, kind_values.at(static_cast<std::size_t>(job.kind))},
+              {priority_field, priority_values.at(static_cast<std::size_t>(job.priority))},
               {wire::tasks, job.tasks},
               {one_zone_field, job.one_zone},
               {spread_field, job.spread},
@@ -113,7 +118,7 @@
               {estimated_run_time_field, job.estimated_run_time.count()},
               {checkpoint_interval_field, job.checkpoint_interval.count()},
               {checkpoint_save_time_field, job.checkpoint_save_time.count()}};
-  encode_resources(job.each, out);
+  encode_resources(job.task_resources, out);
   if (job.types) out[wire::machine_types] = *job.types;
   if (job.zone) out[wire::zone] = *job.zone;
   if (job.deadline) out[deadline_field] = job.deadline->count();
--- a/tests/simulation/scenario.cpp
+++ b/tests/simulation/scenario.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 constexpr int max_printed_violations = 10;
-constexpr int default_machines = 6, default_spot_machines = 3;  // of a type, in each zone
+constexpr int default_machines = 6, default_spot_machines = 3;  // of each type, in each zone
 constexpr double default_until_s = 200;
 }  // namespace
 
@@ -24,15 +24,15 @@
   SimulationSettings settings = read_settings(statements_);
   settings.seed += static_cast<std::uint64_t>(seed_index);
   simulation_ = std::make_unique<Simulation>(settings);
-  loads_ = std::make_unique<LoadGenerator>(*simulation_, until_);
+  load_generator_ = std::make_unique<LoadGenerator>(*simulation_, until_);
   for (const auto& statement : statements_) {
     if (statement.words[0] == "type") add_machine_type(statement);
-    if (statement.words[0] == "load") loads_->schedule(statement);
+    if (statement.words[0] == "load") load_generator_->schedule(statement);
     if (statement.words[0] == "at") schedule_action(statement);
   }
 }
 
-bool Scenario::play() {
+bool Scenario::run() {
   simulation_->start();
   simulation_->queue().run_until(until_);
   InvariantChecker& invariants = simulation_->invariants();
--- a/tests/simulation/state_service.cpp
+++ b/tests/simulation/state_service.cpp
@@ -16,9 +16,9 @@
 
 std::map<std::string, std::string> query_of(const std::string& target) {
   std::map<std::string, std::string> out;
-  const auto mark = target.find('?');
-  if (mark == std::string::npos) return out;
-  std::stringstream rest(target.substr(mark + 1));
+  const auto question_mark = target.find('?');
+  if (question_mark == std::string::npos) return out;
+  std::stringstream rest(target.substr(question_mark + 1));
   for (std::string pair; std::getline(rest, pair, '&');) {
     const auto equals = pair.find('=');
     out[pair.substr(0, equals)] = equals == std::string::npos ? "" : pair.substr(equals + 1);
@@ -46,7 +46,7 @@
   down_ = down;
   if (down) return;
   for (auto& [id, lease] : leases_) schedule_expiry(id);
-  answer_watches();
+  respond_to_watches();
 }
 
 void StateService::set_limits(double write_rps, int txn_ops, double value_kb) {
@@ -127,7 +127,7 @@
       put(each.at("write").get<std::string>(), each.at("data"), each.value("pass", 0));
     }
   }
-  answer_watches();
+  respond_to_watches();
   respond({200, Json{{"epoch", revision_}}.dump()});
 }
 
@@ -158,16 +158,16 @@
   opened->prefix = query.at("prefix");
   opened->after_revision = std::stoull(query.at("from"));
   opened->respond = respond;
-  if (answer_watch(*opened, false)) return;
+  if (respond_to_watch(*opened, false)) return;
   watches_.push_back(opened);
   const Seconds timeout{std::stod(query.at("hold_ms")) / 1000};
   queue_.after(timeout, [this, opened] {
-    if (!down_) answer_watch(*opened, true);
+    if (!down_) respond_to_watch(*opened, true);
   });
 }
 
-bool StateService::answer_watch(Watch& watch, bool even_empty) {
-  if (watch.answered) return true;
+bool StateService::respond_to_watch(Watch& watch, bool allow_empty) {
+  if (watch.responded) return true;
   Json log = Json::array();
   for (const auto& each : changes_log_) {
     if (each.version <= watch.after_revision || !each.key.starts_with(watch.prefix)) continue;
@@ -177,15 +177,15 @@
       log.push_back({{"remove", each.key}, {"stamp", each.version}});
     }
   }
-  if (log.empty() && !even_empty) return false;
-  watch.answered = true;
+  if (log.empty() && !allow_empty) return false;
+  watch.responded = true;
   watch.respond({200, Json{{"epoch", revision_}, {"log", log}}.dump()});
   return true;
 }
 
-void StateService::answer_watches() {
-  for (auto& each : watches_) answer_watch(*each, false);
-  std::erase_if(watches_, [](const auto& each) { return each->answered; });
+void StateService::respond_to_watches() {
+  for (auto& each : watches_) respond_to_watch(*each, false);
+  std::erase_if(watches_, [](const auto& each) { return each->responded; });
 }
 
 void StateService::handle_lease(const HttpRequest& request, const OnResponse& respond) {
@@ -209,7 +209,7 @@
   respond({200, "{}"});
 }
 
-// The lease gets its full time from now on.
+// Renews the lease for its full time to live.
 void StateService::schedule_expiry(std::uint64_t id) {
   Lease& lease = leases_.at(id);
   lease.expires_at = queue_.now() + lease.ttl_s;
@@ -226,7 +226,7 @@
   if (attached.empty()) return;
   ++revision_;
   for (const auto& key : attached) erase(key);
-  answer_watches();
+  respond_to_watches();
 }
 
 }  // namespace poppystile::simulation
--- a/tests/simulation/worker.cpp
+++ b/tests/simulation/worker.cpp
@@ -7,13 +7,17 @@
 using transport::HttpResponse;
 
 namespace {
-constexpr Seconds response_timeout{4};       // PROTOCOL: then the next controller is tried
+constexpr Seconds response_timeout{4};  // PROTOCOL; afterwards the worker tries the next controller
 constexpr Seconds next_controller_delay{1};  // PROTOCOL
-constexpr double min_heartbeat_gap_s = 0.5;  // PROTOCOL: between heartbeats on change
+// PROTOCOL; shortest time from one heartbeat to the next if a change triggers the latter.
+constexpr double min_heartbeat_gap_s = 0.5;
 constexpr Seconds lease_check_interval{0.1};
 constexpr Seconds wake_up_delay{0.01};
+// From a redirect to the heartbeat to the new controller.
 constexpr Seconds max_redirect_delay{0.5};
+// Multiples of the heartbeat interval.
 constexpr double min_interval_factor = 0.75, max_interval_factor = 1.25;
+// Multiple of the worker lease: time after a fault during which it still explains an expired lease.
 constexpr double leases_explained_after_fault = 2;
 }  // namespace
 
@@ -61,19 +65,19 @@
   send_heartbeat_on_change();
 }
 
-std::int64_t Worker::room_for(const protocol::JobSpec& spec) const {
+std::int64_t Worker::startable_tasks(const protocol::JobSpec& spec) const {
   const bool usable =
       is_up_ && !tasks_.is_hanging() && !tasks_.do_tasks_fail() && preemption_at_ < 0;
   const bool allowed = (!host_.spot || spec.spot) && (!spec.zone || *spec.zone == host_.zone) &&
                        (!spec.types || std::find(spec.types->begin(), spec.types->end(),
                                                  host_.type) != spec.types->end());
-  return usable && allowed ? spec.each.times_in(tasks_.free_resources()) : 0;
+  return usable && allowed ? spec.task_resources.times_in(tasks_.free_resources()) : 0;
 }
 
 void Worker::check_lease() {
   if (!is_up_) return;
   queue_.after(lease_check_interval, [this] { check_lease(); });
-  // A machine loses its tasks at the lease's end whether or not it hangs.
+  // The lease expires, and the tasks are killed, even while the machine hangs.
   if (queue_.now() - lease_renewed_at_ > timing_.lease.count()) expire_lease();
 }
 
@@ -111,9 +115,9 @@
 void Worker::send_heartbeat() {
   if (tasks_.is_hanging())
     return send_heartbeat_after(Seconds{tasks_.hanging_until() - queue_.now()} + wake_up_delay);
-  const std::uint64_t number = in_flight_ = ++heartbeats_;
+  const std::uint64_t number = in_flight_ = ++last_heartbeat_number_;
   const double sent_at = last_heartbeat_at_ = queue_.now();
-  // A heartbeat that cannot leave has its sequence number all the same.
+  // A blocked heartbeat also consumes a sequence number.
   const std::string body = encode_heartbeat();
   if (queue_.now() >= heartbeats_blocked_until_)
     send_(controllers_[controller_], *this, body,
@@ -143,7 +147,7 @@
 
 void Worker::handle_response(std::uint64_t heartbeat, std::uint64_t incarnation, double sent_at,
                              const HttpResponse& response) {
-  if (in_flight_ != heartbeat) return;  // its timeout is over
+  if (in_flight_ != heartbeat) return;  // this heartbeat has timed out
   in_flight_ = 0;
   if (response.status == 421) return handle_redirect(response);
   if (response.status != 200) return try_next_controller();
--- a/tests/unit/cancellation_tracker_test.cpp
+++ b/tests/unit/cancellation_tracker_test.cpp
@@ -1,4 +1,5 @@
-// Up to when cancellations are known, and how long a leader may keep worker leases alive on that.
+// The time up to which a controller has every cancellation, and how long after it a leader may keep
+// worker leases alive.
 #include "coordination/peers/cancellation_tracker.hpp"
 
 #include <gtest/gtest.h>
@@ -37,37 +38,37 @@
     status.fresh_as_of_wall = caller.wall_now() - Seconds{15};
     return status;
   }
-  // The latest time that a confirmation sent now may prove.
-  SteadyTime confirmed_now() const { return caller.now() - 2 * max_clock_offset; }
+  // The latest time that a confirmation sent now can confirm, given the offset of the clocks.
+  SteadyTime latest_confirmable() const { return caller.now() - 2 * max_clock_offset; }
 
   CancellationTracker tracker{caller, settings, shared_state};
 };
 
-TEST_F(CancellationTrackerTest, WithoutPeersKnowsWhatTheSharedStateIncludes) {
-  EXPECT_EQ(tracker.known_until(), shared_state.fresh_as_of());
+TEST_F(CancellationTrackerTest, WithoutConfirmationsIsCompleteUpToTheFreshnessOfTheSharedState) {
+  EXPECT_EQ(tracker.complete_until(), shared_state.fresh_as_of());
 }
 
-TEST_F(CancellationTrackerTest, ConfirmationsOfAllPeersProveThePresent) {
+TEST_F(CancellationTrackerTest, ConfirmationsOfAllPeersMakeItCompleteUpToNow) {
   tracker.confirm(make_status("stile-1"));
-  EXPECT_LT(tracker.known_until(), confirmed_now() - Seconds{10});
+  EXPECT_LT(tracker.complete_until(), latest_confirmable() - Seconds{10});
   tracker.confirm(make_status("stile-2"));
-  EXPECT_EQ(tracker.known_until(), confirmed_now());
+  EXPECT_EQ(tracker.complete_until(), latest_confirmable());
 }
 
-TEST_F(CancellationTrackerTest, SharedStateOfOnePeerProvesWhatItIncludes) {
+TEST_F(CancellationTrackerTest, SharedStateOfOnePeerMakesItCompleteUpToItsFreshness) {
   PeerStatus status = make_status("stile-1");
   status.fresh_as_of_wall = caller.wall_now() - Seconds{1};
   tracker.confirm(status);
-  EXPECT_EQ(tracker.known_until(), confirmed_now() - Seconds{1});
+  EXPECT_EQ(tracker.complete_until(), latest_confirmable() - Seconds{1});
 }
 
 TEST_F(CancellationTrackerTest, IncompleteStatusConfirmsNothing) {
   PeerStatus incomplete = make_status("stile-1");
-  incomplete.all_cancelled = false;
+  incomplete.cancelled_is_complete = false;
   incomplete.fresh_as_of_wall = caller.wall_now();
   tracker.confirm(incomplete);
   tracker.confirm(make_status("stile-2"));
-  EXPECT_LT(tracker.known_until(), confirmed_now() - Seconds{10});
+  EXPECT_LT(tracker.complete_until(), latest_confirmable() - Seconds{10});
 }
 
 TEST_F(CancellationTrackerTest, RestartedPeerConfirmsOnlyOnceItHasLoadedTheSharedState) {
@@ -77,26 +78,26 @@
   restarted.started_at = caller.wall_now();
   restarted.fresh_as_of_wall = {};
   tracker.confirm(restarted);
-  EXPECT_LT(tracker.known_until(), confirmed_now() - Seconds{10});
+  EXPECT_LT(tracker.complete_until(), latest_confirmable() - Seconds{10});
   restarted.fresh_as_of_wall = caller.wall_now() - Seconds{15};
   tracker.confirm(restarted);
-  EXPECT_EQ(tracker.known_until(), confirmed_now());
+  EXPECT_EQ(tracker.complete_until(), latest_confirmable());
 }
 
-TEST_F(CancellationTrackerTest, AppliesCancellationsThatAPeerNames) {
+TEST_F(CancellationTrackerTest, AppliesCancellationsListedByAPeer) {
   PeerStatus status = make_status("stile-1");
   status.cancelled = {"req-1"};
   tracker.apply(status);
   EXPECT_TRUE(shared_state.cancelled().contains("req-1"));
 }
 
-TEST_F(CancellationTrackerTest, AdvertisesAllCancelledJobsAndHowFreshTheyAre) {
+TEST_F(CancellationTrackerTest, AdvertisesAllCancelledJobsAndTheirFreshness) {
   shared_state.apply_cancellation("req-1");
   shared_state.apply_cancellation("req-2");
   PeerStatus status;
   tracker.advertise(status);
   EXPECT_EQ(status.cancelled, (std::vector<std::string>{"req-1", "req-2"}));
-  EXPECT_TRUE(status.all_cancelled);
+  EXPECT_TRUE(status.cancelled_is_complete);
   EXPECT_EQ(status.fresh_as_of_wall, shared_state.fresh_as_of_wall());
 }
 
@@ -106,20 +107,22 @@
   PeerStatus status;
   tracker.advertise(status);
   EXPECT_EQ(status.cancelled.size(), constants::max_advertised_cancellations);
-  EXPECT_FALSE(status.all_cancelled);
+  EXPECT_FALSE(status.cancelled_is_complete);
 }
 
 TEST_F(CancellationTrackerTest, ResponsesEndEarlyEnoughForLeasesToExpireWithinTheCancelTimeout) {
   const SteadyTime lease_expires =
-      tracker.may_respond_until() + settings.worker_lease * (1 + constants::clock_drift);
-  EXPECT_LT(lease_expires, tracker.known_until() + settings.cancel_timeout);
+      tracker.response_deadline() + settings.worker_lease * (1 + constants::clock_drift);
+  EXPECT_LT(lease_expires, tracker.complete_until() + settings.cancel_timeout);
 }
 
-TEST_F(CancellationTrackerTest, LeaderThatHasNotReplayedTheJournalMayRespondForAShareOfThat) {
-  const Seconds budget = tracker.may_respond_until() - tracker.known_until();
-  const SteadyTime elected_at = caller.now();
-  const Seconds unready_budget = tracker.may_respond_until_before_replay(elected_at) - elected_at;
-  EXPECT_NEAR(unready_budget.count(), (budget * constants::unready_response_share).count(), 1e-9);
+TEST_F(CancellationTrackerTest, LeaderThatHasNotReplayedTheJournalMayRespondForAShareOfTheBudget) {
+  const Seconds response_budget = tracker.response_deadline() - tracker.complete_until();
+  const SteadyTime won_campaign_started_at = caller.now();
+  const Seconds unready_budget =
+      tracker.response_deadline_before_replay(won_campaign_started_at) - won_campaign_started_at;
+  EXPECT_NEAR(unready_budget.count(),
+              (response_budget * constants::response_share_before_replay).count(), 1e-9);
 }
 
 }  // namespace
--- a/tests/unit/cloud_client_test.cpp
+++ b/tests/unit/cloud_client_test.cpp
@@ -1,4 +1,4 @@
-// Typed results of calls to the cloud, and the rate budget.
+// Typed results of calls to the cloud, the limit on their rate, and abandoned calls.
 #include "coordination/fleet/cloud_client.hpp"
 
 #include <gtest/gtest.h>
@@ -14,8 +14,9 @@
  protected:
   CloudResult<std::vector<std::string>> rent(int status, const std::string& body) {
     std::optional<CloudResult<std::vector<std::string>>> result;
-    cloud.request_rental("r-1", {"t", "a", true, 3}, [&](const auto& given) { result = given; });
-    cloud_http.answer(status, body);
+    cloud.request_rental("r-1", {"t", "a", true, 3},
+                         [&](const auto& received) { result = received; });
+    cloud_http.respond(status, body);
     return result.value();
   }
 };
@@ -26,7 +27,7 @@
   EXPECT_EQ(*granted, (std::vector<std::string>{"n-1", "n-2"}));
 }
 
-TEST_F(CloudClientTest, TellsRefusalsFromUnavailability) {
+TEST_F(CloudClientTest, DistinguishesRefusalsFromUnavailability) {
   using Reason = CloudError::Reason;
   EXPECT_EQ(rent(503, R"({"error":"no capacity"})").error().reason, Reason::refused);
   EXPECT_EQ(rent(400, R"({"error":"bad"})").error().reason, Reason::refused);
@@ -43,7 +44,7 @@
   EXPECT_FALSE(result.error().detail.empty());
 }
 
-TEST_F(CloudClientTest, SpendsNoMoreThanItsShareOfTheRate) {
+TEST_F(CloudClientTest, AcquiresNoMoreCallsThanItsShareOfTheRateLimit) {
   settings.cloud_rps = 10;
   CloudClient limited{caller, cloud_http, settings};
   int acquired = 0;
@@ -55,14 +56,14 @@
 }
 
 TEST_F(CloudClientTest, DropsAbandonedCalls) {
-  bool answered = false;
-  cloud.release({"n-1"}, [&](const CloudResult<void>&) { answered = true; });
+  bool responded = false;
+  cloud.release({"n-1"}, [&](const CloudResult<void>&) { responded = true; });
   cloud.abandon_calls();
-  cloud_http.answer(200, "{}");
-  EXPECT_FALSE(answered);
-  cloud.release({"n-1"}, [&](const CloudResult<void>& result) { answered = result.has_value(); });
-  cloud_http.answer(200, "{}");
-  EXPECT_TRUE(answered);
+  cloud_http.respond(200, "{}");
+  EXPECT_FALSE(responded);
+  cloud.release({"n-1"}, [&](const CloudResult<void>& result) { responded = result.has_value(); });
+  cloud_http.respond(200, "{}");
+  EXPECT_TRUE(responded);
 }
 
 }  // namespace
--- a/tests/unit/cluster_state_test.cpp
+++ b/tests/unit/cluster_state_test.cpp
@@ -18,7 +18,7 @@
     spec.id = "req-1";
     spec.team = "vision";
     spec.tasks = 3;
-    spec.each.cpus = 2;
+    spec.task_resources.cpus = 2;
     job.record.spec = spec;
     job.phases.resize(spec.tasks);
   }
@@ -28,7 +28,7 @@
   Job& job = cluster_state.jobs["req-1"];
 };
 
-TEST_F(ClusterStateTest, APlacementUsesItsMachineAndTeam) {
+TEST_F(ClusterStateTest, PlacingATaskAddsToMachineAndTeamUsage) {
   cluster_state.place(machine, job, 7, SteadyTime{});
   EXPECT_EQ(machine.used.cpus, 2);
   EXPECT_EQ(cluster_state.teams["vision"].used.cpus, 2);
@@ -37,7 +37,7 @@
   EXPECT_EQ(machine.find("req-1", 0, 8), nullptr);
 }
 
-TEST_F(ClusterStateTest, ResourcesAreReleasedOnce) {
+TEST_F(ClusterStateTest, ReleasingResourcesTwiceSubtractsThemOnce) {
   Placement& placement = cluster_state.place(machine, job, 7, SteadyTime{});
   placement.phase = PlacementPhase::running;
   job.running = 1;
@@ -48,24 +48,24 @@
   EXPECT_EQ(job.running, 0u);
 }
 
-TEST_F(ClusterStateTest, ATaskThatCameBackIsPlacedFirst) {
+TEST_F(ClusterStateTest, ARequeuedTaskIsPlacedFirst) {
   for (int i = 0; i < 2; ++i) cluster_state.place(machine, job, 7, SteadyTime{});
   job.requeue(0);
   EXPECT_EQ(job.waiting(), 2u);
-  EXPECT_EQ(job.take_waiting(machine), 0u);
-  EXPECT_EQ(job.take_waiting(machine), 2u);
+  EXPECT_EQ(job.place_next_waiting_task(machine), 0u);
+  EXPECT_EQ(job.place_next_waiting_task(machine), 2u);
 }
 
 TEST_F(ClusterStateTest, FinishedTasksAreNotPlaced) {
   job.finish(0);
-  EXPECT_EQ(job.take_waiting(machine), 1u);
+  EXPECT_EQ(job.place_next_waiting_task(machine), 1u);
   EXPECT_FALSE(job.all_finished());
   job.finish_all();
   EXPECT_TRUE(job.all_finished());
   EXPECT_EQ(job.waiting(), 0u);
 }
 
-TEST_F(ClusterStateTest, AFailingJobMayPlaceAFewTasksOnly) {
+TEST_F(ClusterStateTest, AJobThatFailsEverywhereMayPlaceOnlyAFewTasks) {
   job.record.spec.tasks = 100;
   job.phases.resize(100);
   EXPECT_EQ(job.schedulable_tasks(), 100u);
@@ -80,11 +80,12 @@
   cluster_state.place(machine, job, 7, SteadyTime{});
   cluster_state.release_resources(machine, machine.placements.front());
   std::vector<std::uint32_t> visited;
-  job.for_each_placement([&](Placement& each) { visited.push_back(each.index); });
+  job.for_each_placement(
+      [&](Placement& visited_placement) { visited.push_back(visited_placement.index); });
   EXPECT_EQ(visited, std::vector<std::uint32_t>{1});
 }
 
-TEST_F(ClusterStateTest, AnAssemblingGangsTasksAreReplacedOnceAllMachinesReported) {
+TEST_F(ClusterStateTest, LostTasksOfAnAssemblingGangAreReplacedOnceAllMachinesReported) {
   cluster_state.place(machine, job, 7, SteadyTime{});
   job.gang.phase = GangAttempt::Phase::assembling;
   job.gang.placed_at = SteadyTime{Seconds{10}};
@@ -99,14 +100,14 @@
   EXPECT_FALSE(job.may_replace_tasks(now, Seconds{20}));
 }
 
-TEST_F(ClusterStateTest, TheLeastRecentlyUsedImagesLeaveAFullCache) {
+TEST_F(ClusterStateTest, AFullCacheEvictsTheLeastRecentlyUsedImage) {
   machine.mark_image_used("a", 4);
   machine.mark_image_used("b", 4);
   machine.mark_image_used("a", 4);
   machine.mark_image_used("c", 5);
-  EXPECT_TRUE(machine.holds("a"));
-  EXPECT_FALSE(machine.holds("b"));
-  EXPECT_TRUE(machine.holds("c"));
+  EXPECT_TRUE(machine.has_cached("a"));
+  EXPECT_FALSE(machine.has_cached("b"));
+  EXPECT_TRUE(machine.has_cached("c"));
 }
 
 }  // namespace
--- a/tests/unit/gang_placement_test.cpp
+++ b/tests/unit/gang_placement_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Gangs are placed whole; what they preempt, and what is preempted before them.
+/// Tests of the placement of gangs as a whole, of preemption for gangs, and of preemption of gangs.
 #include "planning/gang_placement.hpp"
 
 #include <gtest/gtest.h>
@@ -28,11 +28,11 @@
   add(cluster_state, "a1", 8);
   add(cluster_state, "b1", 8);
   add_gang("req-1", 6);
-  EXPECT_TRUE(plan().placements.empty());  // 4 fit in each zone
+  EXPECT_TRUE(plan().placements.empty());  // 4 tasks fit in each zone
   add(cluster_state, "b2", 8);
-  const auto made = plan();
-  ASSERT_EQ(made.placements.size(), 6u);
-  for (const auto& each : made.placements) EXPECT_EQ(each.machine[0], 'b');
+  const auto result = plan();
+  ASSERT_EQ(result.placements.size(), 6u);
+  for (const auto& each : result.placements) EXPECT_EQ(each.machine[0], 'b');
 }
 
 TEST_F(GangPlacementTest, TheZoneWhereTheLastImageArrivesFirstIsChosen) {
@@ -41,19 +41,19 @@
   add(cluster_state, "b1", 8).mark_image_used("img", 1);
   add(cluster_state, "b2", 8).mark_image_used("img", 1);
   add_gang("req-1", 6);
-  const auto made = plan();
-  ASSERT_EQ(made.placements.size(), 6u);
-  for (const auto& each : made.placements) EXPECT_EQ(each.machine[0], 'b');
+  const auto result = plan();
+  ASSERT_EQ(result.placements.size(), 6u);
+  for (const auto& each : result.placements) EXPECT_EQ(each.machine[0], 'b');
 }
 
-// With half of the room each, they would wait for one another for ever.
-TEST_F(GangPlacementTest, GangsThatFitOnlyOneAtATimeDoNotShareTheRoom) {
+// Two gangs that each hold half of the resources would wait for each other for ever.
+TEST_F(GangPlacementTest, OfTwoGangsThatFitOnlyOneAtATimeOneIsPlacedWhole) {
   add(cluster_state, "a1", 16);
   add_gang("req-1", 6);
   add_gang("req-2", 6);
-  const auto made = plan();
-  ASSERT_EQ(made.placements.size(), 6u);
-  for (const auto& each : made.placements) EXPECT_EQ(each.job, made.placements[0].job);
+  const auto result = plan();
+  ASSERT_EQ(result.placements.size(), 6u);
+  for (const auto& each : result.placements) EXPECT_EQ(each.job, result.placements[0].job);
 }
 
 TEST_F(GangPlacementTest, SpreadLeavesHalfOfTheTasksToOtherZones) {
@@ -62,9 +62,9 @@
   Job& gang = add_gang("req-1", 5);
   gang.record.spec.one_zone = false;
   gang.record.spec.spread = true;
-  const auto made = plan();
-  ASSERT_EQ(made.placements.size(), 5u);
-  EXPECT_EQ(std::count_if(made.placements.begin(), made.placements.end(),
+  const auto result = plan();
+  ASSERT_EQ(result.placements.size(), 5u);
+  EXPECT_EQ(std::count_if(result.placements.begin(), result.placements.end(),
                           [](const auto& each) { return each.machine == "a1"; }),
             3);
 }
@@ -78,7 +78,7 @@
   EXPECT_EQ(plan().placements.size(), 6u);
 }
 
-TEST_F(GangPlacementTest, FreeRoomIsReservedForAWaitingGang) {
+TEST_F(GangPlacementTest, FreeResourcesAreReservedForAWaitingGangInPartOfEachPeriod) {
   add(cluster_state, "a1", 8);
   add(cluster_state, "a2", 8);
   Job& gang = add_gang("req-1", 6);
@@ -88,12 +88,13 @@
     cluster_state.place(cluster_state.machines.at("a1"), cluster_state.jobs.at("req-9"), 1,
                         steady_at(0));
   EXPECT_TRUE(plan().placements.empty());
-  // But not all the time: single tasks have their turn.
+  // After the first part of the reservation period, nothing is reserved and single tasks are
+  // placed.
   gang.record.accepted_at = wall_at(-50);
   EXPECT_FALSE(plan().placements.empty());
 }
 
-// A gang loses all its tasks with one of them.
+// Preempting one task of a gang stops all of them.
 TEST_F(GangPlacementTest, SingleTasksArePreemptedBeforeAGang) {
   Machine& machine = add(cluster_state, "a1", 8);
   Job& gang = add_gang("req-1", 2);
@@ -107,12 +108,12 @@
   gang.gang.number = 2;
   gang.gang.placed_at = steady_at(9);
   add(cluster_state, spec("req-3", JobKind::service, 1, Priority::production));
-  const auto made = plan();
-  ASSERT_EQ(made.preemptions.size(), 1u);
-  EXPECT_EQ(made.preemptions[0].job, "req-2");
+  const auto result = plan();
+  ASSERT_EQ(result.preemptions.size(), 1u);
+  EXPECT_EQ(result.preemptions[0].job, "req-2");
 }
 
-TEST_F(GangPlacementTest, AGangPreemptsForAllItsTasksOrNotAtAll) {
+TEST_F(GangPlacementTest, AGangPreemptsForAllItsTasksOrForNone) {
   Machine& machine = add(cluster_state, "a1", 8);
   add(cluster_state, spec("req-2", JobKind::array, 4, Priority::low));
   for (std::uint32_t i = 0; i < 4; ++i)
--- a/tests/unit/gang_test.cpp
+++ b/tests/unit/gang_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Gangs: what one task's state means for the others.
+/// Gangs: how a change of one task affects the other tasks.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -22,7 +22,7 @@
 using protocol::JobKind;
 using protocol::Priority;
 
-TEST(AttemptNumbers, EndBeforeThoseOfTheNextToken) {
+TEST(AttemptNumbers, AreExhaustedBeforeThoseOfTheNextTokenBegin) {
   cluster::AttemptNumbers numbers(41, (1 << 24) - 3);
   EXPECT_EQ(numbers.next(), (std::uint64_t{42} << 24) - 2);
   EXPECT_EQ(numbers.next(), (std::uint64_t{42} << 24) - 1);
@@ -34,7 +34,7 @@
  protected:
   GangTest() {
     context.teams = &teams;
-    context.finish_aims = &aims;
+    context.finish_objectives = &aims;
     context.gang_task_replacement_window =
         protocol::GangTimes{Seconds{40}, Seconds{6}}.task_replacement_window();
   }
@@ -47,12 +47,12 @@
     return cluster_state.jobs.at(id);
   }
   planning::Plan plan() { return planning::make_plan(cluster_state, context); }
-  // Carries out what a plan has placed.
-  void apply(const planning::Plan& made, std::uint64_t attempt) {
-    for (const auto& each : made.placements) {
-      Job& job = cluster_state.jobs.at(each.job);
+  // Applies the placements of a plan to the cluster state.
+  void apply(const planning::Plan& new_plan, std::uint64_t attempt) {
+    for (const auto& placement : new_plan.placements) {
+      Job& job = cluster_state.jobs.at(placement.job);
       if (job.is_gang()) GangTracker::on_placed(job, attempt, context.now);
-      cluster_state.place(cluster_state.machines.at(each.machine), job, attempt, context.now);
+      cluster_state.place(cluster_state.machines.at(placement.machine), job, attempt, context.now);
     }
   }
   std::size_t stopping() const {
@@ -60,19 +60,20 @@
     for (const auto& [id, machine] : cluster_state.machines)
       count += static_cast<std::size_t>(
           std::count_if(machine.placements.begin(), machine.placements.end(),
-                        [](const auto& each) { return each.stopping; }));
+                        [](const auto& placement) { return placement.stopping; }));
     return count;
   }
 
   ClusterState cluster_state;
   std::vector<protocol::TeamSettings> teams = {{"ops", 0, 0, 0, 0}};
-  std::vector<protocol::FinishAim> aims;
+  std::vector<protocol::FinishObjective> aims;
   planning::PlanningContext context;
   protocol::Settings settings;
 };
 
-TEST_F(GangTest, ALostTaskIsReplacedUnderTheSameAttemptElsewhere) {
-  // The third has room for one task only, no more than the machine that is left: it is no better.
+TEST_F(GangTest, LostTaskIsReplacedOnAnotherMachineInTheSameAttempt) {
+  // The third machine has capacity for one task only. The machine that loses its task then has as
+  // much free capacity, so the planner has no other reason to prefer the third one.
   add(cluster_state, "a1", 4).last_heartbeat_at = steady_at(5);
   add(cluster_state, "a2", 4).last_heartbeat_at = steady_at(5);
   add(cluster_state, "a3", 2).last_heartbeat_at = steady_at(5);
@@ -80,28 +81,28 @@
   apply(plan(), 77);
   ASSERT_EQ(gang.placements.size(), 4u);
   const std::uint32_t index = gang.placements.begin()->first;
-  Machine& left = *gang.placements.begin()->second;
-  for (auto& each : left.placements)
-    if (each.index == index) cluster_state.release_resources(left, each);
+  Machine& vacated_machine = *gang.placements.begin()->second;
+  for (auto& placement : vacated_machine.placements)
+    if (placement.index == index) cluster_state.release_resources(vacated_machine, placement);
   gang.requeue(index);
   context.now = steady_at(6);
-  GangTracker::on_task_lost(gang, left.id, steady_at(6));
-  EXPECT_TRUE(plan().placements.empty());  // the others have not been heard since
+  GangTracker::on_task_lost(gang, vacated_machine.id, steady_at(6));
+  EXPECT_TRUE(plan().placements.empty());  // No machine has sent a heartbeat since the loss.
   for (auto& [id, machine] : cluster_state.machines) machine.last_heartbeat_at = steady_at(7);
-  const auto made = plan();
-  ASSERT_EQ(made.placements.size(), 1u);
-  EXPECT_NE(made.placements[0].machine, left.id);
-  apply(made, 78);
+  const auto new_plan = plan();
+  ASSERT_EQ(new_plan.placements.size(), 1u);
+  EXPECT_NE(new_plan.placements[0].machine, vacated_machine.id);
+  apply(new_plan, 78);
   EXPECT_EQ(gang.gang.number, 77u);
-  // Once it has begun nothing is replaced any more, and the rest is stopped.
+  // A lost task of a running attempt is not replaced, and the other tasks are stopped.
   GangTracker::on_reported(gang, protocol::TaskState::running, steady_at(7));
-  GangTracker::on_task_lost(gang, left.id, steady_at(8));
+  GangTracker::on_task_lost(gang, vacated_machine.id, steady_at(8));
   EXPECT_EQ(gang.gang.phase, GangAttempt::Phase::ending);
   EXPECT_EQ(stopping(), 4u);
   EXPECT_EQ(gang.schedulable_tasks(), 0u);
 }
 
-TEST_F(GangTest, AnAttemptThatIsNotCompletedInTimeIsGivenUp) {
+TEST_F(GangTest, AttemptThatIsNotCompletedInTimeIsAbandoned) {
   add(cluster_state, "a1", 8);
   Job& gang = add_gang("req-1", 4);
   apply(plan(), 77);
@@ -114,20 +115,23 @@
   EXPECT_EQ(gang.gang.phase, GangAttempt::Phase::ending);
 }
 
-TEST_F(GangTest, WhatAFormerLeaderNamedInPartIsGivenUp) {
+TEST_F(GangTest, IncompleteAttemptOfAFormerLeaderIsAbandoned) {
   Machine& machine = add(cluster_state, "a1", 16);
-  Job& whole = add_gang("req-1", 2);
-  Job& part = add_gang("req-2", 3);
-  Job& mixed = add_gang("req-3", 2);
-  for (std::uint32_t i = 0; i < 2; ++i) cluster_state.restore(machine, whole, i, 7, steady_at(0));
-  for (std::uint32_t i = 0; i < 2; ++i) cluster_state.restore(machine, part, i, 8, steady_at(0));
+  Job& complete_gang = add_gang("req-1", 2);
+  Job& partial_gang = add_gang("req-2", 3);
+  Job& mixed_attempts_gang = add_gang("req-3", 2);
   for (std::uint32_t i = 0; i < 2; ++i)
-    cluster_state.restore(machine, mixed, i, 9 + i, steady_at(0));
-  for (Job* job : {&whole, &part, &mixed}) GangTracker::on_restored(*job, steady_at(0));
-  EXPECT_EQ(whole.gang.phase, GangAttempt::Phase::assembling);
-  EXPECT_EQ(whole.gang.number, 7u);
-  EXPECT_EQ(part.gang.phase, GangAttempt::Phase::ending);
-  EXPECT_EQ(mixed.gang.phase, GangAttempt::Phase::ending);
+    cluster_state.restore(machine, complete_gang, i, 7, steady_at(0));
+  for (std::uint32_t i = 0; i < 2; ++i)
+    cluster_state.restore(machine, partial_gang, i, 8, steady_at(0));
+  for (std::uint32_t i = 0; i < 2; ++i)
+    cluster_state.restore(machine, mixed_attempts_gang, i, 9 + i, steady_at(0));
+  for (Job* job : {&complete_gang, &partial_gang, &mixed_attempts_gang})
+    GangTracker::on_restored(*job, steady_at(0));
+  EXPECT_EQ(complete_gang.gang.phase, GangAttempt::Phase::assembling);
+  EXPECT_EQ(complete_gang.gang.number, 7u);
+  EXPECT_EQ(partial_gang.gang.phase, GangAttempt::Phase::ending);
+  EXPECT_EQ(mixed_attempts_gang.gang.phase, GangAttempt::Phase::ending);
 }
 
 }  // namespace
--- a/tests/unit/journal_batch_test.cpp
+++ b/tests/unit/journal_batch_test.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// The journal's segments, snapshots and batches, each without a state service.
+/// The segment queue, the snapshot schedule and the batches of the journal, without a state
+/// service.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -18,7 +19,7 @@
 constexpr std::size_t max_elements = 64;
 constexpr std::size_t max_bytes = 7000;
 
-TEST(SegmentQueueTest, SealsWhatWasAppendedIntoNumberedSegments) {
+TEST(SegmentQueueTest, SealsAppendedEntriesIntoNumberedSegments) {
   SegmentQueue queue;
   queue.begin_term(8);
   EXPECT_EQ(queue.append(storage::MachineRemoved{"n-1"}, max_elements), 1u);
@@ -35,18 +36,18 @@
   EXPECT_EQ(queue.next_number(), 9u);
 }
 
-TEST(SegmentQueueTest, OnlyTheLastOfSeveralSegmentsHoldsEverything) {
+TEST(SegmentQueueTest, OnlyTheLastSealedSegmentGetsTheAppendedPosition) {
   SegmentQueue queue;
   queue.begin_term(1);
   for (int i = 0; i < 3; ++i) queue.append(storage::MachineRemoved{"n-1"}, max_elements);
-  queue.seal(token, 12, 1);  // bytes; one entry in each
+  queue.seal(token, 12, 1);  // 12 bytes hold one entry.
   ASSERT_EQ(queue.segments().size(), 3u);
   EXPECT_EQ(queue.segments()[0].log_position, 1u);
   EXPECT_EQ(queue.segments()[1].log_position, 1u);
   EXPECT_EQ(queue.segments()[2].log_position, 3u);
 }
 
-TEST(SegmentQueueTest, SealsNothingWhenNothingWasAppended) {
+TEST(SegmentQueueTest, SealsNoSegmentWithoutEntries) {
   SegmentQueue queue;
   queue.begin_term(1);
   EXPECT_EQ(queue.seal(token, max_bytes, 0), 0u);
@@ -57,15 +58,15 @@
   SnapshotSchedule snapshots;
   snapshots.begin_term(JournalHead{3, 2, 8}, 0);
   EXPECT_FALSE(snapshots.is_due(9));
-  EXPECT_FALSE(snapshots.is_due(8 + constants::min_open_segments / 2 - 1));
-  EXPECT_TRUE(snapshots.is_due(8 + constants::min_open_segments / 2));
+  EXPECT_FALSE(snapshots.is_due(8 + constants::min_segments_after_snapshot / 2 - 1));
+  EXPECT_TRUE(snapshots.is_due(8 + constants::min_segments_after_snapshot / 2));
   snapshots.on_segment_sealed(constants::min_journal_bytes_before_snapshot - 1);
   EXPECT_FALSE(snapshots.is_due(9));
   snapshots.on_segment_sealed(1);
   EXPECT_TRUE(snapshots.is_due(9));
 }
 
-TEST(SnapshotScheduleTest, TheHeadFollowsEveryChunk) {
+TEST(SnapshotScheduleTest, HeadIsDueOnlyAfterEveryChunk) {
   SnapshotSchedule snapshots;
   snapshots.begin_term(JournalHead{3, 2, 8}, constants::min_journal_bytes_before_snapshot);
   EXPECT_FALSE(snapshots.is_head_due());
@@ -85,7 +86,7 @@
   EXPECT_FALSE(snapshots.is_head_due());
 }
 
-TEST(SnapshotScheduleTest, AnAbandonedSnapshotLeavesTheFormerOne) {
+TEST(SnapshotScheduleTest, AbandoningASnapshotKeepsTheCommittedOne) {
   SnapshotSchedule snapshots;
   snapshots.begin_term(JournalHead{3, 2, 8}, 0);
   snapshots.start({{R"(["g","n-1"])"}}, 20, token);
@@ -95,35 +96,35 @@
   EXPECT_EQ(snapshots.segments_since(20), 12u);
 }
 
-TEST(SnapshotScheduleTest, LargeSnapshotsMayHaveMoreSegmentsAndChunksAtATime) {
+TEST(SnapshotScheduleTest, LargeSnapshotsAllowMoreSegmentsAndMoreChunksPerWrite) {
   SnapshotSchedule snapshots;
   snapshots.begin_term({}, 0);
-  EXPECT_EQ(snapshots.max_segments_since(), constants::min_open_segments);
+  EXPECT_EQ(snapshots.max_segments_since(), constants::min_segments_after_snapshot);
   EXPECT_EQ(snapshots.max_chunks_per_write(), constants::min_snapshot_chunks_per_write);
   snapshots.start(std::vector<std::vector<std::string>>(1000, {R"(["g","n-1"])"}), 1, token);
-  EXPECT_EQ(snapshots.max_segments_since(), constants::journal_ring);
+  EXPECT_EQ(snapshots.max_segments_since(), constants::journal_ring_segments);
   EXPECT_EQ(snapshots.max_chunks_per_write(), 4u);
 }
 
-TEST(JournalBatchTest, KeepsToTheTransactionsLimits) {
+TEST(JournalBatchTest, StaysWithinTheTransactionLimits) {
   JournalBatch batch;
-  JournalRecord large;
-  large.value = std::string(constants::max_transaction_bytes + 1, ' ');
-  EXPECT_TRUE(batch.fits(large, 1));
-  JournalRecord half;
-  half.value = std::string(constants::max_transaction_bytes / 2, ' ');
-  batch.add(half);
-  EXPECT_FALSE(batch.fits(half, 1));
-  EXPECT_TRUE(batch.fits(half, 2));
-  EXPECT_FALSE(batch.fits(large, 2));
+  JournalRecord large_record;
+  large_record.value = std::string(constants::max_transaction_bytes + 1, ' ');
+  EXPECT_TRUE(batch.fits(large_record, 1));
+  JournalRecord half_size_record;
+  half_size_record.value = std::string(constants::max_transaction_bytes / 2, ' ');
+  batch.add(half_size_record);
+  EXPECT_FALSE(batch.fits(half_size_record, 1));
+  EXPECT_TRUE(batch.fits(half_size_record, 2));
+  EXPECT_FALSE(batch.fits(large_record, 2));
   batch.clear();
   EXPECT_TRUE(batch.empty());
-  EXPECT_TRUE(batch.fits(large, 2));
+  EXPECT_TRUE(batch.fits(large_record, 2));
 }
 
-TEST(JournalBatchTest, EntriesAreGroupedByTheBytesOfARecord) {
+TEST(JournalBatchTest, GroupsEntriesByRecordSize) {
   const std::vector<storage::JournalEntry> entries(3, storage::MachineRemoved{"n-1"});
-  const auto groups = group_by_record_size(entries, 23);  // bytes; two entries and a comma
+  const auto groups = group_by_record_size(entries, 23);  // 23 bytes hold two entries and a comma.
   ASSERT_EQ(groups.size(), 2u);
   EXPECT_EQ(groups[0].size(), 2u);
   EXPECT_EQ(groups[1].size(), 1u);
--- a/tests/unit/leader_parts_fixture.hpp
+++ b/tests/unit/leader_parts_fixture.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// What the leader's parts stand on, with a cluster state that is built by hand, for tests of one
-/// part at a time.
+/// Fixture for tests of single components of the leader: provides the components that they depend
+/// on, and a cluster state to which tests add machines, jobs and placements.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -45,32 +45,33 @@
     planning::add(cluster_state, planning::spec(id, kind, tasks, Priority::normal));
     return cluster_state.jobs.at(id);
   }
-  // Places the job's next task. The reference holds until the machine gets another placement.
+  // Places the job's next waiting task on the machine. The reference is valid until another task is
+  // placed on that machine.
   Placement& place(Machine& machine, Job& job, std::uint64_t attempt = 1) {
     return cluster_state.place(machine, job, attempt, caller.now());
   }
   void advance(Seconds span) { queue.run_until(queue.now() + span.count()); }
 
-  // A heartbeat of the machine's present incarnation.
+  // Returns a heartbeat of the machine's present incarnation that lists no tasks.
   static protocol::Heartbeat heartbeat(const Machine& machine, std::uint64_t sequence) {
-    protocol::Heartbeat made;
-    made.machine = machine.id;
-    made.incarnation = machine.incarnation;
-    made.sequence = sequence;
-    return made;
+    protocol::Heartbeat message;
+    message.machine = machine.id;
+    message.incarnation = machine.incarnation;
+    message.sequence = sequence;
+    return message;
   }
   static protocol::ReportedTask reported(const Placement& placement, protocol::TaskState state,
                                          protocol::ExitCause cause = protocol::ExitCause::none) {
     return {placement.job, placement.index, placement.attempt, state, cause, false};
   }
 
-  LeaderElection election{caller, store, shared_state, "stile-0", 7};
-  JournalWriter journal{caller, store, election, settings};
+  LeaderElection election{caller, key_value_client, shared_state, "stile-0", 7};
+  JournalWriter journal{caller, key_value_client, election, settings};
   ClusterState cluster_state;
   GangTracker gangs{settings};
   TaskStopper stopper{cluster_state, gangs};
   MachineHealth health{caller, cluster_state, stopper, settings};
-  JobFinalizer finalizer{caller, cluster_state, shared_state, store, election, settings};
+  JobFinalizer finalizer{caller, cluster_state, shared_state, key_value_client, election, settings};
   int plan_requests = 0;
   TaskReconciler reconciler{
       caller, cluster_state, journal, finalizer, health, settings, [this] { ++plan_requests; }};
--- a/tests/unit/machine_catalog_test.cpp
+++ b/tests/unit/machine_catalog_test.cpp
@@ -1,4 +1,4 @@
-// Known machine types, and how they reach the recorded catalog.
+// Lookup of machine types, refreshes of the catalog, and its record in the state service.
 #include "coordination/fleet/machine_catalog.hpp"
 
 #include <gtest/gtest.h>
@@ -22,7 +22,7 @@
   EXPECT_EQ(machine.boot_time, Seconds{20});
 }
 
-TEST_F(MachineCatalogTest, LeavesAMachineOfAnUnknownTypeAlone) {
+TEST_F(MachineCatalogTest, DoesNotChangeAMachineOfAnUnknownType) {
   cluster::Machine machine;
   machine.type = "other";
   EXPECT_FALSE(catalog.apply_machine_type(machine));
@@ -41,12 +41,12 @@
                          shared_state, election, settings};
 };
 
-TEST_F(CatalogUpdaterTest, FetchesOnceAndRefreshesAfterAWhile) {
+TEST_F(CatalogUpdaterTest, FetchesOnceAndRefreshesAfterTheInterval) {
   become_leader();
   updater.refresh_if_due();
   updater.refresh_if_due();
   ASSERT_EQ(cloud_http.calls.size(), 1u);
-  cloud_http.answer(200, catalog_body(1));
+  cloud_http.respond(200, catalog_body(1));
   EXPECT_NE(catalog.find("x"), nullptr);
   updater.refresh_if_due();
   EXPECT_TRUE(cloud_http.calls.empty());
@@ -58,22 +58,22 @@
 TEST_F(CatalogUpdaterTest, RecordsTheCatalogOnlyOnce) {
   become_leader();
   updater.refresh_if_due();
-  cloud_http.answer(200, catalog_body(1));
+  cloud_http.respond(200, catalog_body(1));
   run_for(1);
   const std::uint64_t version = shared_state.catalog_version();
   EXPECT_NE(version, 0u);
   run_for(constants::catalog_refresh_interval.count() + 1);
   updater.refresh_if_due();
-  cloud_http.answer(200, catalog_body(2));
+  cloud_http.respond(200, catalog_body(2));
   run_for(1);
   EXPECT_EQ(shared_state.catalog_version(), version);
   EXPECT_EQ(shared_state.types().at(0).price, 1);
   EXPECT_EQ(catalog.find("x")->price, 2);
 }
 
-TEST_F(CatalogUpdaterTest, KeepsTheFormerCatalogWhenAResponseIsMalformed) {
+TEST_F(CatalogUpdaterTest, KeepsThePreviousCatalogWhenAResponseIsMalformed) {
   updater.refresh_if_due();
-  cloud_http.answer(200, "{}");
+  cloud_http.respond(200, "{}");
   EXPECT_NE(catalog.find("t"), nullptr);
   updater.refresh_if_due();
   EXPECT_EQ(cloud_http.calls.size(), 1u);
--- a/tests/unit/machine_slot_test.cpp
+++ b/tests/unit/machine_slot_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// What the planner makes of a machine, and how it counts tasks that it adds.
+/// Tests of the slots that the planner makes of machines, and of the tasks that it adds to them.
 #include "planning/machine_slot.hpp"
 
 #include <gtest/gtest.h>
@@ -41,9 +41,10 @@
 
 TEST_F(MachineSlotTest, LoadIsTheRemainingTimeOfArraysOverConcurrentTasks) {
   place("array").phase = PlacementPhase::running;
-  EXPECT_DOUBLE_EQ(slot().load.count(), 5);                  // 20 s, four at a time
-  EXPECT_DOUBLE_EQ(slot(steady_at(8)).load.count(), 3);      // 12 s are left
-  EXPECT_DOUBLE_EQ(slot(steady_at(60)).load.count(), 1.25);  // overdue: a quarter more
+  EXPECT_DOUBLE_EQ(slot().load.count(), 5);              // 20 s remain, four tasks at a time
+  EXPECT_DOUBLE_EQ(slot(steady_at(8)).load.count(), 3);  // 12 s remain
+  // Runs longer than estimated: another quarter of the 20 s is assumed.
+  EXPECT_DOUBLE_EQ(slot(steady_at(60)).load.count(), 1.25);
 }
 
 TEST_F(MachineSlotTest, StoppingTasksCountAsBeingFreed) {
@@ -56,10 +57,10 @@
 TEST_F(MachineSlotTest, OneFetchServesAllTasksOfAnImage) {
   place("array");
   place("service");
-  const MachineSlot made = slot();
-  EXPECT_EQ(made.fetched_images, std::vector<std::string>{"img"});
-  EXPECT_TRUE(made.has_or_fetches("img"));
-  EXPECT_EQ(made.fetching_replicas, 1u);
+  const MachineSlot result = slot();
+  EXPECT_EQ(result.pending_images, std::vector<std::string>{"img"});
+  EXPECT_TRUE(result.has_cached_or_is_fetching("img"));
+  EXPECT_EQ(result.replicas_awaiting_image, 1u);
 }
 
 TEST_F(MachineSlotTest, FetchesShareTheMachinesRate) {
@@ -76,18 +77,18 @@
 
 TEST_F(MachineSlotTest, TaskCapacityIsLimitedByResourcesAndByCount) {
   const JobSpec job = spec("req-1", JobKind::array, 10, Priority::normal);
-  MachineSlot made = slot();
-  EXPECT_EQ(made.task_capacity(job), 4u);
-  made.occupy(job);
-  EXPECT_EQ(made.task_capacity(job), 3u);
-  made.task_count = constants::max_tasks_per_machine - 1;
-  EXPECT_EQ(made.task_capacity(job), 1u);
-  made.task_count = constants::max_tasks_per_machine + 1;
-  EXPECT_EQ(made.task_capacity(job), 0u);
+  MachineSlot result = slot();
+  EXPECT_EQ(result.task_capacity(job), 4u);
+  result.occupy(job);
+  EXPECT_EQ(result.task_capacity(job), 3u);
+  result.task_count = constants::max_tasks_per_machine - 1;
+  EXPECT_EQ(result.task_capacity(job), 1u);
+  result.task_count = constants::max_tasks_per_machine + 1;
+  EXPECT_EQ(result.task_capacity(job), 0u);
 }
 
-TEST_F(MachineSlotTest, ABootingMachineIsExpectedHalfWayUntilItIsOverdue) {
-  machine.boot_time = Seconds{30};  // up between 18 s and 45 s
+TEST_F(MachineSlotTest, ABootingMachineIsExpectedMidwayThroughTheRangeOfItsBootTime) {
+  machine.boot_time = Seconds{30};  // Expected to be up 18 s to 45 s after the rental.
   machine.rented_at = wall_at(100);
   EXPECT_DOUBLE_EQ(make_booting_slot(machine, wall_at(100))->ready_in.count(), 31.5);
   EXPECT_DOUBLE_EQ(make_booting_slot(machine, wall_at(125))->ready_in.count(), 10);
--- a/tests/unit/offer_selector_test.cpp
+++ b/tests/unit/offer_selector_test.cpp
@@ -1,4 +1,4 @@
-// Which kind of machine is the cheapest for a job.
+// Selection of the offer with the lowest weighted price for a job.
 #include "planning/autoscaler/offer_selector.hpp"
 
 #include <gtest/gtest.h>
@@ -10,8 +10,8 @@
 
 class OfferSelectorTest : public testing::Test {
  protected:
-  std::optional<Offer> cheapest(const JobSpec& wanted, bool prefer_quick_start = false) const {
-    return OfferSelector(types, refused).cheapest(wanted, prefer_quick_start, composition);
+  std::optional<Offer> cheapest(const JobSpec& job_spec, bool prefer_quick_start = false) const {
+    return OfferSelector(types, refused).cheapest(job_spec, prefer_quick_start, composition);
   }
 
   std::vector<protocol::MachineType> types = {
@@ -38,18 +38,18 @@
 TEST_F(OfferSelectorTest, SkipsRefusedOffersAndTypesThatAreTooSmall) {
   refused = {{"slow", "a", true}, {"slow", "b", true}};
   EXPECT_EQ(cheapest(job), (Offer{"quick", "a", true}));
-  job.each.cpus = 20000;
+  job.task_resources.cpus = 20000;
   EXPECT_EQ(cheapest(job), (Offer{"slow", "a", false}));
-  job.each.cpus = 40000;
+  job.task_resources.cpus = 40000;
   EXPECT_EQ(cheapest(job), std::nullopt);
 }
 
-TEST_F(OfferSelectorTest, PrefersAKindOfWhichTheFleetHasLess) {
+TEST_F(OfferSelectorTest, PrefersAnOfferOfWhichTheFleetHasFewerMachines) {
   composition.add_available({"slow", "a", true});
   EXPECT_EQ(cheapest(job), (Offer{"slow", "b", true}));
 }
 
-TEST_F(OfferSelectorTest, PrefersAKindWhoseBootsAreNotOverdue) {
+TEST_F(OfferSelectorTest, PrefersAnOfferWithoutOverdueBoots) {
   composition.overdue[{"slow", "a", true}] = 1;
   EXPECT_EQ(cheapest(job), (Offer{"slow", "b", true}));
 }
--- a/tests/unit/peer_messages_test.cpp
+++ b/tests/unit/peer_messages_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The status that controllers send one another.
+/// Encoding and decoding of the status that controllers send one another.
 #include "protocol/peer_messages.hpp"
 
 #include <gtest/gtest.h>
@@ -14,10 +14,10 @@
 
 using samples::peer_status;
 
-TEST(PeerMessagesTest, DecodesWhatItEncodesAndRefusesGarbage) {
+TEST(PeerMessagesTest, DecodesItsEncodingAndRejectsMalformedFrames) {
   protocol::PeerStatus status = peer_status();
   status.fresh_as_of_wall = wall_at(1.5e9);
-  status.all_cancelled = false;
+  status.cancelled_is_complete = false;
   const std::string frame = protocol::encode_peer_status(status);
   const auto again = protocol::decode_peer_status(frame);
   ASSERT_TRUE(again.has_value());
@@ -28,15 +28,15 @@
   EXPECT_EQ(again->started_at, wall_at(1.4e9));
   EXPECT_EQ(again->state_contact_at, wall_at(1.6e9));
   EXPECT_EQ(again->fresh_as_of_wall, wall_at(1.5e9));
-  EXPECT_FALSE(again->all_cancelled);
+  EXPECT_FALSE(again->cancelled_is_complete);
   EXPECT_EQ(again->cancelled.at(0), "req-7");
   EXPECT_FALSE(protocol::decode_peer_status("").has_value());
   EXPECT_FALSE(protocol::decode_peer_status("\x81\x01").has_value());
 }
 
-// A head that claims billions of items once blocked the process for seconds while room for them
-// was set aside.
-TEST(PeerMessagesTest, RefusesHugeArraySizesAtOnce) {
+// A head that declares billions of items blocked the process for seconds, while memory for the
+// items was allocated.
+TEST(PeerMessagesTest, RejectsHugeArraySizesWithoutAllocation) {
   EXPECT_FALSE(
       protocol::decode_peer_status(std::string("\x9b\x00\x00\x00\x7f\xff\xff\xff\xff\x01", 10))
           .has_value());
--- a/tests/unit/planner_fixture.hpp
+++ b/tests/unit/planner_fixture.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// A cluster, and plans for it.
+/// Test fixture with a cluster state and the means to make plans for it and to apply them.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -16,19 +16,19 @@
  protected:
   PlannerTest() {
     context.teams = &teams;
-    context.finish_aims = &aims;
+    context.finish_objectives = &aims;
   }
   Plan plan() { return make_plan(cluster_state, context); }
-  // Carries out the placements, each as an attempt of its own.
-  void apply(const Plan& made) {
-    for (const auto& each : made.placements)
-      cluster_state.place(cluster_state.machines.at(each.machine), cluster_state.jobs.at(each.job),
-                          ++attempts, steady_at(0));
+  /// Applies the plan's placements to the cluster state, each with an attempt number of its own.
+  void apply(const Plan& new_plan) {
+    for (const auto& planned : new_plan.placements)
+      cluster_state.place(cluster_state.machines.at(planned.machine),
+                          cluster_state.jobs.at(planned.job), ++attempts, steady_at(0));
   }
 
   ClusterState cluster_state;
   std::vector<protocol::TeamSettings> teams = {{"ops", 0, 0, 0, 0}};
-  std::vector<protocol::FinishAim> aims;
+  std::vector<protocol::FinishObjective> aims;
   PlanningContext context;
   std::uint64_t attempts = 0;
 };
--- a/tests/unit/scale_in_test.cpp
+++ b/tests/unit/scale_in_test.cpp
@@ -1,4 +1,4 @@
-// Which machines are given up, and how they are released.
+// The history of demand, the reasons for releasing machines, and the batches of releases.
 #include "coordination/fleet/scale_in.hpp"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 namespace poppystile::coordination {
 namespace {
 
-TEST(DemandHistoryTest, PeakForgetsOldSamples) {
+TEST(DemandHistoryTest, PeakDiscardsOldSamples) {
   const SteadyTime start{Seconds{100}};
   DemandHistory history;
   EXPECT_EQ(history.peak(start, Seconds{40}), 0);
@@ -36,7 +36,7 @@
   EXPECT_TRUE(registry.find("n-1")->releasing);
   releaser.send_batch_if_due();
   EXPECT_FALSE(registry.is_released("n-1"));
-  cloud_http.answer(200, "{}");
+  cloud_http.respond(200, "{}");
   EXPECT_TRUE(registry.is_released("n-1"));
   EXPECT_EQ(removed, std::vector<std::string>{"n-1"});
   releaser.send_batch_if_due();
@@ -46,7 +46,7 @@
 TEST_F(MachineReleaserTest, RepeatsAnUnconfirmedBatchAfterAPause) {
   releaser.schedule(add_machine("n-1"));
   releaser.send_batch_if_due();
-  cloud_http.answer(0, "");
+  cloud_http.respond(0, "");
   releaser.send_batch_if_due();
   EXPECT_TRUE(cloud_http.calls.empty());
   queue.run_until(queue.now() + constants::release_retry_pause.count() + 0.1);
@@ -56,16 +56,16 @@
 }
 
 TEST_F(MachineReleaserTest, SendsBoundedBatchesOneAtATime) {
-  for (std::size_t i = 0; i <= constants::max_released; ++i)
+  for (std::size_t i = 0; i <= constants::max_machines_per_release; ++i)
     releaser.schedule(add_machine("n-" + std::to_string(i)));
   releaser.send_batch_if_due();
   releaser.send_batch_if_due();
   ASSERT_EQ(cloud_http.calls.size(), 1u);
-  cloud_http.answer(200, "{}");
-  EXPECT_EQ(removed.size(), constants::max_released);
+  cloud_http.respond(200, "{}");
+  EXPECT_EQ(removed.size(), constants::max_machines_per_release);
   releaser.send_batch_if_due();
-  cloud_http.answer(200, "{}");
-  EXPECT_EQ(removed.size(), constants::max_released + 1);
+  cloud_http.respond(200, "{}");
+  EXPECT_EQ(removed.size(), constants::max_machines_per_release + 1);
 }
 
 class ScaleInTest : public FleetFixture {
@@ -73,27 +73,27 @@
   ScaleInTest() { scale_in.begin_term(caller.now()); }
   // Whether a pass schedules the machine's release.
   bool is_released_by_pass(const cluster::Machine& machine) {
-    scale_in.release_overdue();
+    scale_in.release_unusable();
     return machine.releasing;
   }
   MachineReleaser releaser{caller, cloud, registry, [](auto&, auto&) {}};
   ScaleIn scale_in{caller, registry, catalog, releaser, settings};
 };
 
-TEST_F(ScaleInTest, ReleasesAMachineThatNeverCameUp) {
+TEST_F(ScaleInTest, ReleasesAMachineWhoseBootTimedOut) {
   cluster::Machine& machine = add_machine("n-1");
   machine.incarnation = 0;
-  machine.rented_at = caller.wall_now() - Seconds{109};  // four boots of 20 s, and 30 s
+  machine.rented_at = caller.wall_now() - Seconds{109};  // Timeout: 4 * 20 s boot time + 30 s.
   EXPECT_FALSE(is_released_by_pass(machine));
   queue.run_until(queue.now() + 2);
   EXPECT_TRUE(is_released_by_pass(machine));
 }
 
-TEST_F(ScaleInTest, ReleasesAMachineThatIsSilentBeyondItsLease) {
+TEST_F(ScaleInTest, ReleasesAMachineWithoutHeartbeatsBeyondItsLease) {
   cluster::Machine& machine = add_machine("n-1");
   queue.run_until(99);
   EXPECT_FALSE(is_released_by_pass(machine));
-  queue.run_until(101);  // a lease of 10 s, and 90 s
+  queue.run_until(101);  // Timeout: 10 s lease + 90 s grace.
   EXPECT_TRUE(is_released_by_pass(machine));
 }
 
@@ -103,7 +103,7 @@
   machine.is_unresponsive = true;
   queue.run_until(29);
   EXPECT_FALSE(is_released_by_pass(machine));
-  queue.run_until(31);  // three leases of 10 s
+  queue.run_until(31);  // Timeout: three leases of 10 s.
   EXPECT_TRUE(is_released_by_pass(machine));
 }
 
@@ -116,7 +116,7 @@
   EXPECT_TRUE(is_released_by_pass(machine));
 }
 
-TEST_F(ScaleInTest, AppliesAPlan) {
+TEST_F(ScaleInTest, AppliesReleasesUncordonsAndDrainsOfAPlan) {
   add_machine("n-1").draining = true;
   add_machine("n-2").draining = true;
   add_machine("n-3");
--- a/tests/unit/scale_out_test.cpp
+++ b/tests/unit/scale_out_test.cpp
@@ -1,4 +1,4 @@
-// Renting: the record before the request, back-off, and what becomes of the cloud's answers.
+// Renting: durable records before requests, backoff, and handling of the cloud's responses.
 #include "coordination/fleet/scale_out.hpp"
 
 #include <gtest/gtest.h>
@@ -26,7 +26,7 @@
   }
 }
 
-TEST(OfferBackoffTest, TheNextPauseIsShortAfterASuccess) {
+TEST(OfferBackoffTest, ASuccessfulRequestResetsThePause) {
   const Offer offer{"t", "a", true};
   const SteadyTime now{Seconds{100}};
   OfferBackoff backoff;
@@ -53,7 +53,7 @@
   EXPECT_TRUE(rental_log.is_request_due(*rental, caller.now()));
 }
 
-TEST_F(RentalLogTest, NamesAreNeverUsedTwice) {
+TEST_F(RentalLogTest, NamesAreNotReusedAfterSettling) {
   rental_log.add(3, {"t", "a", true, 2});
   rental_log.settle("h-3-1");
   rental_log.add(3, {"t", "a", true, 2});
@@ -61,7 +61,7 @@
   EXPECT_NE(rental_log.find("h-3-2"), nullptr);
 }
 
-TEST_F(RentalLogTest, TakesOverTheRentalsOfFormerLeadersAsRequested) {
+TEST_F(RentalLogTest, TreatsRentalsOfPreviousLeadersAsRequested) {
   rental_log.add(3, {"t", "a", true, 2});
   rental_log.begin_term({{"h-2-1", {"t", "a", false, 4}}});
   EXPECT_EQ(rental_log.find("h-3-1"), nullptr);
@@ -88,7 +88,7 @@
 TEST_F(ScaleOutTest, AdmitsGrantedMachinesAndSettlesTheRental) {
   become_leader();
   request(2);
-  cloud_http.answer(200, R"({"stiles":["n-1","n-2"]})");
+  cloud_http.respond(200, R"({"stiles":["n-1","n-2"]})");
   ASSERT_NE(registry.find("n-1"), nullptr);
   EXPECT_TRUE(registry.find("n-2")->spot);
   EXPECT_EQ(registry.find("n-2")->size.cpus, 16000);
@@ -99,7 +99,7 @@
 TEST_F(ScaleOutTest, PausesAnOfferThatIsGrantedInPart) {
   become_leader();
   request(2);
-  cloud_http.answer(200, R"({"stiles":["n-1"]})");
+  cloud_http.respond(200, R"({"stiles":["n-1"]})");
   EXPECT_NE(registry.find("n-1"), nullptr);
   EXPECT_TRUE(rental_log.rentals().empty());
   EXPECT_EQ(scale_out.refused_offers(), std::set<Offer>{offer});
@@ -108,16 +108,16 @@
 TEST_F(ScaleOutTest, ARefusalSettlesTheRentalAndPausesTheOffer) {
   become_leader();
   request(2);
-  cloud_http.answer(503, R"({"error":"no capacity"})");
+  cloud_http.respond(503, R"({"error":"no capacity"})");
   EXPECT_TRUE(rental_log.rentals().empty());
   EXPECT_EQ(scale_out.refused_offers(), std::set<Offer>{offer});
 }
 
-TEST_F(ScaleOutTest, RepeatsARequestWithoutAnAnswerUnderTheSameName) {
+TEST_F(ScaleOutTest, RepeatsARequestWithoutAResponseUnderTheSameName) {
   become_leader();
   request(2);
   const std::string body = cloud_http.calls.front().request.body;
-  cloud_http.answer(0, "");
+  cloud_http.respond(0, "");
   scale_out.request_due_rentals();
   EXPECT_TRUE(cloud_http.calls.empty());
   run_for(constants::rental_retry_pause.count() + 0.1);
@@ -130,14 +130,14 @@
   become_leader();
   request(2);
   scale_out.record_rentals({{offer, 1}, {{"t", "a", false}, 1}}, 1);
-  cloud_http.answer(503, R"({"error":"no capacity"})");
+  cloud_http.respond(503, R"({"error":"no capacity"})");
   ASSERT_EQ(scale_out.pending_orders().size(), 2u);
   scale_out.withdraw_refused_rentals();
   ASSERT_EQ(scale_out.pending_orders().size(), 1u);
   EXPECT_FALSE(scale_out.pending_orders()[0].offer.spot);
 }
 
-TEST_F(ScaleOutTest, RecordsNoMoreRentalsThanCanBeRequestedSoon) {
+TEST_F(ScaleOutTest, RecordsNoMoreRentalsThanTheRateLimitAllowsInASecond) {
   const std::vector<planning::RentalOrder> orders(8, {offer, 1});
   scale_out.record_rentals(orders, 1);
   EXPECT_EQ(rental_log.rentals().size(), 5u);
